--- a/bronzesteer/pause.go
+++ b/bronzesteer/pause.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// SetAside is what a node no longer goes by after it stood still.
-type SetAside struct {
+// Discarded is what a node no longer goes by after it stood still.
+type Discarded struct {
 	// Openings and Requests are those whose answers it waited for, and Findings the
 	// servers that it or others had found silent.
 	Openings int
@@ -20,7 +20,7 @@
 // For two seconds from now on it judges no server, and until Confirmed is called it ends
 // no flow by its records, which may have changed meanwhile: packets that old records say
 // to refuse are dropped, and their callers repeat them.
-func (s *Steerer) Paused(now time.Time) (aside SetAside) {
+func (s *Steerer) Paused(now time.Time) (aside Discarded) {
 	s.init()
 	at := s.since(now)
 	s.fit.rest(at)
@@ -38,7 +38,7 @@
 
 // pause forgets what the shard's flows wait for. Openings are kept: their callers may go
 // on with the server that was asked.
-func (sh *shard) pause(aside *SetAside, at time.Duration) {
+func (sh *shard) pause(aside *Discarded, at time.Duration) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	for _, f := range sh.flows {
--- a/bronzesteer/pause_test.go
+++ b/bronzesteer/pause_test.go
@@ -9,7 +9,7 @@
 )
 
 // sleep lets time pass in which the node doesn't run.
-func (s *site) sleep(d time.Duration) (aside SetAside) {
+func (s *site) sleep(d time.Duration) (aside Discarded) {
 	s.now = s.now.Add(d)
 	return s.node.Paused(s.now)
 }
@@ -42,7 +42,7 @@
 		s.open(live)
 	}
 	aside := s.sleep(5 * time.Second)
-	require.Equal(t, SetAside{Openings: 3, Requests: 3}, aside)
+	require.Equal(t, Discarded{Openings: 3, Requests: 3}, aside)
 	require.Empty(t, s.wait())
 	require.Equal(t, Forward, waiting[0].askAgain().Kind)
 	for range 8 {
