--- a/bronzeedge/pause.go
+++ b/bronzeedge/pause.go
@@ -191,7 +191,7 @@
 	if !first {
 		return
 	}
-	e.steerer.Confirmed()
+	e.steerer.RecordsConfirmed()
 	e.log.Line("ConfirmedAfterPause", F{"AfterMS": after.Milliseconds()})
 }
 
--- a/bronzesteer/pause.go
+++ b/bronzesteer/pause.go
@@ -17,7 +17,7 @@
 // as it slept itself; told to a fleet by all that woke together, that ended open flows at
 // servers that answered all the while.
 //
-// For two seconds from now on it judges no server, and until Confirmed is called it ends
+// For two seconds from now on it judges no server, and until RecordsConfirmed is called it ends
 // no flow by its records, which may have changed meanwhile: packets that old records say
 // to refuse are dropped, and their callers repeat them.
 func (s *Steerer) Paused(now time.Time) (aside Discarded) {
@@ -33,8 +33,8 @@
 	return aside
 }
 
-// Confirmed notes that the records in force are known to be the newest since Paused.
-func (s *Steerer) Confirmed() { s.unsure.Store(false) }
+// RecordsConfirmed notes that the records in force are known to be the newest since Paused.
+func (s *Steerer) RecordsConfirmed() { s.unsure.Store(false) }
 
 // pause forgets what the shard's flows wait for. Openings are kept: their callers may go
 // on with the server that was asked.
--- a/bronzesteer/pause_test.go
+++ b/bronzesteer/pause_test.go
@@ -113,7 +113,7 @@
 	s.pass(time.Second)
 	require.Empty(t, s.endings)
 
-	s.node.Confirmed()
+	s.node.RecordsConfirmed()
 	require.Equal(t, ServerGone, there[0].askAgain().Reason)
 	require.Equal(t, NoRoute, unknown.repeat().Reason)
 	s.pass(time.Second)
