--- a/bronzesteer/report.go
+++ b/bronzesteer/report.go
@@ -39,8 +39,8 @@
 // there is something new to be told of them.
 type suspects map[*backend]bool
 
-// News reports whether Reports has something new since News was last called.
-func (s *Steerer) News() bool { return s.news.Swap(false) }
+// HasNewReports reports whether Reports has something new since HasNewReports was last called.
+func (s *Steerer) HasNewReports() bool { return s.news.Swap(false) }
 
 // suspect notes that there is something new to be told of a server.
 func (s *Steerer) suspect(b *backend) {
--- a/bronzesteer/report_test.go
+++ b/bronzesteer/report_test.go
@@ -121,7 +121,7 @@
 	s.pass(100 * time.Millisecond)
 	waiting[0].ask()
 	s.node.SetReports([]Report{s.found("a-0", 7, 3, 20*time.Millisecond)}, s.now)
-	require.True(t, s.node.News(), "it is passed on")
+	require.True(t, s.node.HasNewReports(), "it is passed on")
 	require.True(t, s.status("a-0").Avoided)
 	s.pass(200 * time.Millisecond)
 	s.serveBut("a-0")
@@ -198,9 +198,9 @@
 			report.Last = time.Duration(rapid.IntRange(-9, 4000).Draw(r, "LastMS")) * time.Millisecond
 			report.Answered = rapid.Bool().Draw(r, "Answered")
 			s.node.SetReports([]Report{report}, s.now)
-			s.node.News()
+			s.node.HasNewReports()
 			s.node.SetReports([]Report{report}, s.now)
-			require.False(t, s.node.News(), "told twice")
+			require.False(t, s.node.HasNewReports(), "told twice")
 			require.LessOrEqual(t, len(s.node.Reports(true, s.now)), toldReporters)
 			s.pass(time.Duration(rapid.IntRange(0, 100).Draw(r, "MS")) * time.Millisecond)
 		}
@@ -228,9 +228,9 @@
 
 	s.open(live)
 	require.Len(t, s.wait(), 1)
-	s.node.News()
+	s.node.HasNewReports()
 	require.Empty(t, s.node.Reports(false, s.now))
 	s.pass(150 * time.Millisecond)
-	require.True(t, s.node.News())
+	require.True(t, s.node.HasNewReports())
 	require.Len(t, s.node.Reports(false, s.now), 1)
 }
--- a/bronzesteer/trial_test.go
+++ b/bronzesteer/trial_test.go
@@ -69,9 +69,9 @@
 	s, _ := newIdleSite(t)
 	tries := s.findDead("a-0")
 	s.now = s.now.Add(3 * time.Millisecond)
-	s.node.News()
+	s.node.HasNewReports()
 	tries.accept()
-	require.True(t, s.node.News())
+	require.True(t, s.node.HasNewReports())
 	require.True(t, s.node.Reports(false, s.now)[0].Answered)
 	for range 20 {
 		s.node.SetReports([]Report{s.found("a-0", 7, 3, 900*time.Millisecond), s.found("a-0", 8, 3, 900*time.Millisecond)}, s.now)
