--- a/bronzeedge/peers.go
+++ b/bronzeedge/peers.go
@@ -170,7 +170,7 @@
 		return
 	}
 	names, others := e.gossip.Remembered(e.cfg.AvailabilityZone)
-	e.steerer.SetNear(names, others > 0 || e.joinsNobody(), now)
+	e.steerer.SetZonePeers(names, others > 0 || e.joinsNobody(), now)
 }
 
 // joinsNobody reports whether the settings name no other node to join.
--- a/bronzesteer/warmup.go
+++ b/bronzesteer/warmup.go
@@ -45,10 +45,10 @@
 	version uint64
 }
 
-// SetNear tells the names of the other nodes in this node's zone, which the Steerer keeps.
+// SetZonePeers tells the names of the other nodes in this node's zone, which the Steerer keeps.
 // Known says that the node has heard of some anywhere, or that there are none to hear of:
 // one that hears nobody can't tell.
-func (s *Steerer) SetNear(names []string, known bool, now time.Time) {
+func (s *Steerer) SetZonePeers(names []string, known bool, now time.Time) {
 	s.init()
 	n := &s.near
 	n.mu.Lock()
--- a/bronzesteer/warmup_test.go
+++ b/bronzesteer/warmup_test.go
@@ -158,7 +158,7 @@
 		names = append(names, name)
 	}
 	// Of one zone, the node may be the only one: it hears those of others.
-	n.SetNear(names, !n.isolated || len(names) > 0, now)
+	n.SetZonePeers(names, !n.isolated || len(names) > 0, now)
 }
 
 // gossip has each node hear of some others, as messages bring their names.
