--- a/bronzeedge/peers.go
+++ b/bronzeedge/peers.go
@@ -97,7 +97,7 @@
 		}
 	}
 	e.steerer.SetLoads(from, in, now)
-	e.steerer.SetNodes(e.gossip.Others(now))
+	e.steerer.SetPeerCount(e.gossip.Others(now))
 }
 
 func (e *Edge) reports(all bool, now time.Time) (out []bronzegossip.Report) {
--- a/bronzesteer/fleet_test.go
+++ b/bronzesteer/fleet_test.go
@@ -26,7 +26,7 @@
 		s := newSite(t, servers)
 		s.node.Node = uint32(i + 1)
 		s.node.Random = f.random.IntN
-		s.node.SetNodes(nodes - 1)
+		s.node.SetPeerCount(nodes - 1)
 		f.flows = append(f.flows, s.load(3*servers, outline))
 		f.sites = append(f.sites, s)
 	}
--- a/bronzesteer/load.go
+++ b/bronzesteer/load.go
@@ -85,8 +85,8 @@
 	s.nodes[node] = nodeLoads{at: s.since(now), loads: loads}
 }
 
-// SetNodes tells how many nodes there are beside this one.
-func (s *Steerer) SetNodes(others int) {
+// SetPeerCount tells how many nodes there are beside this one.
+func (s *Steerer) SetPeerCount(others int) {
 	s.others.Store(int64(others))
 }
 
--- a/bronzesteer/pause_test.go
+++ b/bronzesteer/pause_test.go
@@ -31,7 +31,7 @@
 // on, and ends no flow at any of them.
 func TestANodeThatStoodStillFindsNobodySilent(t *testing.T) {
 	s := newSite(t, 6)
-	s.node.SetNodes(294)
+	s.node.SetPeerCount(294)
 	idle := s.load(12, outline)
 	waiting := s.load(6, live)
 	s.handshakes(20, 3*time.Millisecond)
@@ -58,7 +58,7 @@
 // is found, and told of.
 func TestANodeThatStoodStillJudgesAgain(t *testing.T) {
 	s := newSite(t, 6)
-	s.node.SetNodes(294)
+	s.node.SetPeerCount(294)
 	s.handshakes(20, 3*time.Millisecond)
 	s.sleep(5 * time.Second)
 	s.open(live)
@@ -77,7 +77,7 @@
 // them.
 func TestFindingsFromBeforeAPauseAreForgotten(t *testing.T) {
 	s := newSite(t, 6)
-	s.node.SetNodes(294)
+	s.node.SetPeerCount(294)
 	idle, _ := atFirst(s.load(12, outline))
 	require.NotEmpty(t, idle)
 	s.pass(400 * time.Millisecond)
@@ -125,7 +125,7 @@
 // no server. None of them is asked twice, avoided or told of.
 func TestCopiesThatWaitedWithTheirOpeningShowNoSilence(t *testing.T) {
 	s := newSite(t, 3)
-	s.node.SetNodes(294)
+	s.node.SetPeerCount(294)
 	s.handshakes(20, 3*time.Millisecond)
 	c, d := s.open(live)
 	for range 2 {
@@ -144,7 +144,7 @@
 func TestOneNodesWordKeepsFlowsFromFewServers(t *testing.T) {
 	const servers = 100
 	s := newSite(t, servers)
-	s.node.SetNodes(294)
+	s.node.SetPeerCount(294)
 	s.load(8, live)
 	for _, m := range s.node.known.Load().members {
 		s.node.SetReports([]Report{s.found(m.server.Instance, 7, 3, 10*time.Millisecond)}, s.now)
@@ -166,7 +166,7 @@
 	for others, want := range map[int]time.Duration{
 		0: 0, fewNodes: 0, 19: 800, 65: 800, 77: 800, 294: 1000, 489: 1000, 1100: 1200,
 	} {
-		s.SetNodes(others)
+		s.SetPeerCount(others)
 		require.Equal(t, want*time.Millisecond, s.newsTakes(false), others)
 		require.Equal(t, want*time.Millisecond/2, s.newsTakes(true), others)
 	}
--- a/bronzesteer/place_test.go
+++ b/bronzesteer/place_test.go
@@ -43,7 +43,7 @@
 		}
 		full = append(full, Load{Server: shortID(server), Rate: rate})
 	}
-	s.node.SetNodes(1)
+	s.node.SetPeerCount(1)
 	away := 0
 	for range 200 {
 		s.node.SetLoads("other", full, s.now)
@@ -107,7 +107,7 @@
 func TestLoadsOfSomeNodesStandForAll(t *testing.T) {
 	s := newSite(t, 1)
 	server := s.node.View().Servers[0]
-	s.node.SetNodes(10)
+	s.node.SetPeerCount(10)
 	for _, node := range []string{"x", "y"} {
 		s.node.SetLoads(node, []Load{{Server: shortID(server), Rate: 4}}, s.now)
 	}
@@ -239,7 +239,7 @@
 	s.load(4, live)
 	k := s.node.known.Load()
 	slow, quick := k.backendOf(s.node.View().ByName("a-0"), nil), k.backendOf(s.node.View().ByName("a-1"), nil)
-	s.node.SetNodes(60)
+	s.node.SetPeerCount(60)
 	for node := range 20 {
 		s.node.SetLoads(string(rune('A'+node)), []Load{
 			{Server: slow.short, Rate: 0.3, Latency: 300 * time.Millisecond},
--- a/bronzesteer/report_test.go
+++ b/bronzesteer/report_test.go
@@ -57,7 +57,7 @@
 // by it all the while, and a caller has an idle flow there, which isn't ended.
 func TestANodeWithAFullLinkEndsNoFlows(t *testing.T) {
 	s := newSite(t, 4)
-	s.node.SetNodes(65)
+	s.node.SetPeerCount(65)
 	idle, _ := atFirst(s.load(24, outline))
 	require.NotEmpty(t, idle)
 	for range 4 {
@@ -115,7 +115,7 @@
 // of idle flows, long before this node alone could know.
 func TestFindingsOfTwoNodesEndFlowsOfADeadServer(t *testing.T) {
 	s := newSite(t, 6)
-	s.node.SetNodes(65)
+	s.node.SetPeerCount(65)
 	idle, _ := atFirst(s.load(12, outline))
 	waiting, _ := atFirst(s.load(12, live))
 	s.pass(100 * time.Millisecond)
@@ -146,7 +146,7 @@
 // links of two nodes are full. No flow is ended, and new flows go there again.
 func TestAnAnswerElsewhereClearsAServer(t *testing.T) {
 	s := newSite(t, 6)
-	s.node.SetNodes(65)
+	s.node.SetPeerCount(65)
 	waiting, _ := atFirst(s.load(12, live))
 	s.pass(100 * time.Millisecond)
 	waiting[0].ask()
@@ -168,7 +168,7 @@
 // theirs, and this node's way there is fine. Its callers' idle flows there go on.
 func TestFindingsFromBehindACutEndNoFlows(t *testing.T) {
 	s := newSite(t, 4, 4)
-	s.node.SetNodes(5)
+	s.node.SetPeerCount(5)
 	s.load(8, live)
 	s.farFlows(4)
 	var reports []Report
@@ -215,7 +215,7 @@
 // after a tenth of a second.
 func TestShortDelaysAreNotTold(t *testing.T) {
 	s := newSite(t, 3)
-	s.node.SetNodes(65)
+	s.node.SetPeerCount(65)
 	s.handshakes(20, 3*time.Millisecond)
 	late, d := s.open(live)
 	require.Len(t, s.wait(), 1)
--- a/bronzesteer/trial_test.go
+++ b/bronzesteer/trial_test.go
@@ -11,7 +11,7 @@
 func newIdleSite(t *testing.T) (s *site, idle []*client) {
 	t.Helper()
 	s = newSite(t, 6)
-	s.node.SetNodes(294)
+	s.node.SetPeerCount(294)
 	idle, _ = atFirst(s.load(12, outline))
 	require.NotEmpty(t, idle)
 	s.handshakes(20, 3*time.Millisecond)
--- a/bronzesteer/view_bench_test.go
+++ b/bronzesteer/view_bench_test.go
@@ -43,7 +43,7 @@
 				}
 			})
 			b.Run("sweep", func(b *testing.B) {
-				s.SetNodes(489)
+				s.SetPeerCount(489)
 				now := s.start
 				for b.Loop() {
 					now = now.Add(loadsEvery)
