--- a/bronzeedge/peers.go
+++ b/bronzeedge/peers.go
@@ -127,7 +127,7 @@
 			First: time.Duration(r.FirstMS) * time.Millisecond, Last: time.Duration(r.LastMS) * time.Millisecond,
 		}
 	}
-	e.steerer.SetReports(in, now)
+	e.steerer.MergeReports(in, now)
 }
 
 // tellReports tells other nodes what this one has found of servers, if there is news.
--- a/bronzesteer/fleet_test.go
+++ b/bronzesteer/fleet_test.go
@@ -51,7 +51,7 @@
 		}
 		for range newsFanout {
 			to := f.sites[f.random.IntN(len(f.sites))]
-			to.node.SetReports(reports, to.now)
+			to.node.MergeReports(reports, to.now)
 		}
 		s.pass(50 * time.Millisecond)
 	}
--- a/bronzesteer/pause_test.go
+++ b/bronzesteer/pause_test.go
@@ -81,7 +81,7 @@
 	idle, _ := atFirst(s.load(12, outline))
 	require.NotEmpty(t, idle)
 	s.pass(400 * time.Millisecond)
-	s.node.SetReports([]Report{
+	s.node.MergeReports([]Report{
 		s.found("a-0", 7, 3, 300*time.Millisecond), s.found("a-0", 8, 3, 300*time.Millisecond),
 	}, s.now)
 	require.Equal(t, 1, s.sleep(600*time.Millisecond).Findings)
@@ -147,7 +147,7 @@
 	s.node.SetPeerCount(294)
 	s.load(8, live)
 	for _, m := range s.node.known.Load().members {
-		s.node.SetReports([]Report{s.found(m.server.Instance, 7, 3, 10*time.Millisecond)}, s.now)
+		s.node.MergeReports([]Report{s.found(m.server.Instance, 7, 3, 10*time.Millisecond)}, s.now)
 	}
 	avoided := 0
 	for _, m := range s.node.known.Load().members {
--- a/bronzesteer/report.go
+++ b/bronzesteer/report.go
@@ -204,8 +204,8 @@
 	}
 }
 
-// SetReports takes in what another node tells. What was new in it is then in Reports.
-func (s *Steerer) SetReports(reports []Report, now time.Time) {
+// MergeReports takes in what another node tells. What was new in it is then in Reports.
+func (s *Steerer) MergeReports(reports []Report, now time.Time) {
 	s.init()
 	k := s.known.Load()
 	if k == nil || len(reports) == 0 {
--- a/bronzesteer/report_test.go
+++ b/bronzesteer/report_test.go
@@ -120,7 +120,7 @@
 	waiting, _ := atFirst(s.load(12, live))
 	s.pass(100 * time.Millisecond)
 	waiting[0].ask()
-	s.node.SetReports([]Report{s.found("a-0", 7, 3, 20*time.Millisecond)}, s.now)
+	s.node.MergeReports([]Report{s.found("a-0", 7, 3, 20*time.Millisecond)}, s.now)
 	require.True(t, s.node.HasNewReports(), "it is passed on")
 	require.True(t, s.status("a-0").Avoided)
 	s.pass(200 * time.Millisecond)
@@ -150,11 +150,11 @@
 	waiting, _ := atFirst(s.load(12, live))
 	s.pass(100 * time.Millisecond)
 	waiting[0].ask()
-	s.node.SetReports([]Report{s.found("a-0", 7, 2, 20*time.Millisecond)}, s.now)
+	s.node.MergeReports([]Report{s.found("a-0", 7, 2, 20*time.Millisecond)}, s.now)
 	s.pass(200 * time.Millisecond)
 	waiting[0].askAgain()
 	answered := Report{Server: s.node.backend("a-0").short, Node: 9, Answered: true, Last: 50 * time.Millisecond}
-	s.node.SetReports([]Report{answered}, s.now)
+	s.node.MergeReports([]Report{answered}, s.now)
 	for range 5 {
 		s.pass(200 * time.Millisecond)
 		s.serve(live)
@@ -177,7 +177,7 @@
 		r.Near = false
 		reports = append(reports, r)
 	}
-	s.node.SetReports(reports, s.now)
+	s.node.MergeReports(reports, s.now)
 	for range 5 {
 		s.pass(200 * time.Millisecond)
 		s.serve(live)
@@ -197,9 +197,9 @@
 				time.Duration(rapid.IntRange(-9, 4000).Draw(r, "FirstMS"))*time.Millisecond)
 			report.Last = time.Duration(rapid.IntRange(-9, 4000).Draw(r, "LastMS")) * time.Millisecond
 			report.Answered = rapid.Bool().Draw(r, "Answered")
-			s.node.SetReports([]Report{report}, s.now)
+			s.node.MergeReports([]Report{report}, s.now)
 			s.node.HasNewReports()
-			s.node.SetReports([]Report{report}, s.now)
+			s.node.MergeReports([]Report{report}, s.now)
 			require.False(t, s.node.HasNewReports(), "told twice")
 			require.LessOrEqual(t, len(s.node.Reports(true, s.now)), toldReporters)
 			s.pass(time.Duration(rapid.IntRange(0, 100).Draw(r, "MS")) * time.Millisecond)
--- a/bronzesteer/trial_test.go
+++ b/bronzesteer/trial_test.go
@@ -26,7 +26,7 @@
 	told := s.now
 	for range 20 {
 		first := s.now.Sub(told) + 20*time.Millisecond
-		s.node.SetReports([]Report{s.found(instance, 7, 3, first), s.found(instance, 8, 3, first)}, s.now)
+		s.node.MergeReports([]Report{s.found(instance, 7, 3, first), s.found(instance, 8, 3, first)}, s.now)
 		s.pass(100 * time.Millisecond)
 		c, d := s.open(live)
 		if d.Server.Instance == instance {
@@ -74,7 +74,7 @@
 	require.True(t, s.node.HasNewReports())
 	require.True(t, s.node.Reports(false, s.now)[0].Answered)
 	for range 20 {
-		s.node.SetReports([]Report{s.found("a-0", 7, 3, 900*time.Millisecond), s.found("a-0", 8, 3, 900*time.Millisecond)}, s.now)
+		s.node.MergeReports([]Report{s.found("a-0", 7, 3, 900*time.Millisecond), s.found("a-0", 8, 3, 900*time.Millisecond)}, s.now)
 		s.serve(live)
 		s.pass(100 * time.Millisecond)
 	}
@@ -88,7 +88,7 @@
 	s, _ := newIdleSite(t)
 	told := s.found("a-0", 7, 1, 20*time.Millisecond)
 	told.Requests = 0
-	s.node.SetReports([]Report{told}, s.now)
+	s.node.MergeReports([]Report{told}, s.now)
 	tried := 0
 	for range 14 {
 		s.pass(100 * time.Millisecond)
