--- a/bronzeedge/peers.go
+++ b/bronzeedge/peers.go
@@ -107,7 +107,7 @@
 			Requests: uint16(min(r.Requests, math.MaxUint16)),
 			FirstMS:  uint32(r.First.Milliseconds()), LastMS: uint32(r.Last.Milliseconds()),
 		}
-		if r.Near {
+		if r.SameZone {
 			report.Flags |= bronzegossip.ReportNear
 		}
 		if r.Answered {
@@ -123,7 +123,7 @@
 	for i, r := range reports {
 		in[i] = bronzesteer.Report{
 			Server: r.Server, Node: r.Node, Openings: int(r.Openings), Requests: int(r.Requests),
-			Near: r.Flags&bronzegossip.ReportNear != 0, Answered: r.Flags&bronzegossip.ReportAnswered != 0,
+			SameZone: r.Flags&bronzegossip.ReportNear != 0, Answered: r.Flags&bronzegossip.ReportAnswered != 0,
 			First: time.Duration(r.FirstMS) * time.Millisecond, Last: time.Duration(r.LastMS) * time.Millisecond,
 		}
 	}
--- a/bronzesteer/evidence.go
+++ b/bronzesteer/evidence.go
@@ -201,7 +201,7 @@
 // foundByOther takes in that another node has found a server silent, and reports whether
 // others are to be told: of that, or that it isn't so.
 func (s *Steerer) foundByOther(b *backend, r *Report, at time.Duration) (news bool) {
-	f := finding{near: r.Near, openings: r.Openings, requests: r.Requests, first: at - r.First, last: at - r.Last}
+	f := finding{near: r.SameZone, openings: r.Openings, requests: r.Requests, first: at - r.First, last: at - r.Last}
 	b.mu.Lock()
 	before, known := b.found[r.Node]
 	b.told = true
--- a/bronzesteer/fleet_test.go
+++ b/bronzesteer/fleet_test.go
@@ -71,7 +71,7 @@
 				server := f.sites[0].node.known.Load().members[f.random.IntN(servers)].backend.short
 				first := time.Duration(f.random.IntN(4000)) * time.Millisecond
 				reports = append(reports, Report{
-					Server: server, Node: uint32(nodes - f.random.IntN(liars)), Near: true, Openings: 1 + f.random.IntN(9),
+					Server: server, Node: uint32(nodes - f.random.IntN(liars)), SameZone: true, Openings: 1 + f.random.IntN(9),
 					Requests: f.random.IntN(9), First: first, Last: time.Duration(f.random.Int64N(int64(first) + 1)),
 				})
 			}
--- a/bronzesteer/report.go
+++ b/bronzesteer/report.go
@@ -23,9 +23,9 @@
 	Server uint32
 	// Node stands for the node that found it.
 	Node uint32
-	// Near tells that the node is in the server's zone, so that no cut between zones is
+	// SameZone tells that the node is in the server's zone, so that no cut between zones is
 	// what keeps it from being answered.
-	Near bool
+	SameZone bool
 	// Answered tells that the server has answered the node, Last ago. Otherwise it left
 	// Openings openings and Requests requests unanswered, the first of them sent First
 	// ago and the last found unanswered Last ago.
@@ -171,7 +171,7 @@
 		return list[:min(len(list), toldReporters)], later
 	}
 	list = list[:min(len(list), toldReporters-1)]
-	answer := Report{Server: b.short, Node: s.Node, Near: near, Answered: true, Last: at - b.answeredAt()}
+	answer := Report{Server: b.short, Node: s.Node, SameZone: near, Answered: true, Last: at - b.answeredAt()}
 	return append(list, answer), later
 }
 
@@ -188,8 +188,8 @@
 // compare orders reports by what they are worth to others: those from the server's zone
 // first, and of these the ones of most flows.
 func (r Report) compare(other Report) int {
-	if r.Near != other.Near {
-		if r.Near {
+	if r.SameZone != other.SameZone {
+		if r.SameZone {
 			return -1
 		}
 		return 1
@@ -199,7 +199,7 @@
 
 func (f finding) report(server, node uint32, at time.Duration) Report {
 	return Report{
-		Server: server, Node: node, Near: f.near, Openings: f.openings, Requests: f.requests,
+		Server: server, Node: node, SameZone: f.near, Openings: f.openings, Requests: f.requests,
 		First: at - f.first, Last: at - f.last,
 	}
 }
--- a/bronzesteer/report_test.go
+++ b/bronzesteer/report_test.go
@@ -27,7 +27,7 @@
 // found returns what another node tells of a server.
 func (s *site) found(instance string, node uint32, openings int, first time.Duration) Report {
 	return Report{
-		Server: s.node.backend(instance).short, Node: node, Near: true, Openings: openings, Requests: 1, First: first,
+		Server: s.node.backend(instance).short, Node: node, SameZone: true, Openings: openings, Requests: 1, First: first,
 	}
 }
 
@@ -174,7 +174,7 @@
 	var reports []Report
 	for node := range uint32(3) {
 		r := s.found("b-0", 20+node, 3, 300*time.Millisecond)
-		r.Near = false
+		r.SameZone = false
 		reports = append(reports, r)
 	}
 	s.node.MergeReports(reports, s.now)
