--- a/bronzeedge/packets.go
+++ b/bronzeedge/packets.go
@@ -131,7 +131,7 @@
 }
 
 // end ends a flow of which no packet came.
-func (w *worker) end(ending *bronzesteer.Ending) {
+func (w *worker) end(ending *bronzesteer.EndedFlow) {
 	w.reset(&ending.Packet)
 	d := bronzesteer.Decision{Kind: bronzesteer.End, Reason: ending.Reason}
 	w.edge.counts.decision(&d)
--- a/bronzesteer/flow.go
+++ b/bronzesteer/flow.go
@@ -165,8 +165,8 @@
 	f.finish()
 }
 
-// Ending is a flow that is to be ended though no packet of it came.
-type Ending struct {
+// EndedFlow is a flow that is to be ended though no packet of it came.
+type EndedFlow struct {
 	Packet   Packet
 	Instance string
 	Reason   Reason
@@ -178,7 +178,7 @@
 // started again, or answers nobody, and those whose request may be repeated at one that
 // answers nobody. Callers would find out by their next request, which would be lost if it
 // must not be repeated.
-func (s *Steerer) Sweep(now time.Time) (endings []Ending) {
+func (s *Steerer) Sweep(now time.Time) (endings []EndedFlow) {
 	s.init()
 	k := s.known.Load()
 	if k == nil {
@@ -232,7 +232,7 @@
 	}
 }
 
-func (sh *shard) sweep(at time.Duration, now time.Time, lost map[*backend]loss) (endings []Ending) {
+func (sh *shard) sweep(at time.Duration, now time.Time, lost map[*backend]loss) (endings []EndedFlow) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	for key, f := range sh.flows {
@@ -250,7 +250,7 @@
 		}
 		if ended && f.open && f.mayEnd(l, at) {
 			p := Packet{Key: key, Token: f.token, Sequence: f.sequence, Acknowledged: f.acknowledged}
-			endings = append(endings, Ending{Packet: p, Instance: f.backend.instance, Reason: l.reason})
+			endings = append(endings, EndedFlow{Packet: p, Instance: f.backend.instance, Reason: l.reason})
 			sh.end(key)
 			continue
 		}
--- a/bronzesteer/harness_test.go
+++ b/bronzesteer/harness_test.go
@@ -28,7 +28,7 @@
 	now       time.Time
 	port      uint16
 	// endings are what sweeps have returned.
-	endings []Ending
+	endings []EndedFlow
 }
 
 // newSite returns a site with the given number of servers in zones a, b, c.
