--- a/bronzeedge/packets.go
+++ b/bronzeedge/packets.go
@@ -104,8 +104,8 @@
 		w.hold(b)
 	}
 	e.counts.decision(&d)
-	if d.NotFollowed != bronzepool.Admitted {
-		e.count("NotFollowed" + d.NotFollowed.String())
+	if d.TrackingDenial != bronzepool.Admitted {
+		e.count("NotFollowed" + d.TrackingDenial.String())
 	}
 	if d.Opened > 0 {
 		e.counts.opening.RecordDuration(d.Opened)
--- a/bronzesteer/packet.go
+++ b/bronzesteer/packet.go
@@ -149,9 +149,9 @@
 	// Takes is how long the requests at work in the pool will take, set where an
 	// opening is turned away.
 	Takes time.Duration
-	// NotFollowed is why the flow isn't followed though it is forwarded, Admitted
+	// TrackingDenial is why the flow isn't followed though it is forwarded, Admitted
 	// if it is or if nothing is forwarded.
-	NotFollowed bronzepool.Denial
+	TrackingDenial bronzepool.Denial
 	// Opened is how long the flow's opening took, set with the first packet
 	// of an open flow that this node has opened.
 	Opened time.Duration
--- a/bronzesteer/steer.go
+++ b/bronzesteer/steer.go
@@ -201,7 +201,7 @@
 	token := v.Token(service, server)
 	d := Decision{Kind: Forward, Reason: Placed, Server: server, Token: token}
 	account := s.account(route)
-	if d.NotFollowed = account.Admit(); d.NotFollowed == bronzepool.Admitted {
+	if d.TrackingDenial = account.Admit(); d.TrackingDenial == bronzepool.Admitted {
 		f := &flow{
 			account: account, backend: c.backend, token: token,
 			idempotent: route.Idempotent, openedAt: at, seenAt: at,
@@ -323,7 +323,7 @@
 	if f == nil {
 		account := s.account(route)
 		if denial := account.Admit(); denial != bronzepool.Admitted {
-			return Decision{Kind: Forward, Reason: Steered, Server: server, Token: token, NotFollowed: denial}
+			return Decision{Kind: Forward, Reason: Steered, Server: server, Token: token, TrackingDenial: denial}
 		}
 		f = adopt(sh, route, account, p, b, token, at)
 	}
--- a/bronzesteer/steer_test.go
+++ b/bronzesteer/steer_test.go
@@ -221,7 +221,7 @@
 	before := s.node.Flows()
 	c, d := s.open(live)
 	require.Equal(t, Placed, d.Reason)
-	require.Equal(t, bronzepool.NodeOpenDenied, d.NotFollowed)
+	require.Equal(t, bronzepool.NodeOpenDenied, d.TrackingDenial)
 	require.Equal(t, Steered, c.accept().Reason)
 	require.Equal(t, Steered, c.ask().Reason)
 	require.Equal(t, before, s.node.Flows())
@@ -230,7 +230,7 @@
 	}
 
 	_, d = s.open(outline)
-	require.Equal(t, bronzepool.Admitted, d.NotFollowed)
+	require.Equal(t, bronzepool.Admitted, d.TrackingDenial)
 	require.Equal(t, before+1, s.node.Flows())
 }
 
@@ -253,7 +253,7 @@
 	}
 	_, d := s.open(outline)
 	require.Equal(t, Forward, d.Kind)
-	require.NotEqual(t, bronzepool.Admitted, d.NotFollowed)
+	require.NotEqual(t, bronzepool.Admitted, d.TrackingDenial)
 	require.LessOrEqual(t, s.node.Flows(), most)
 	require.Positive(t, s.node.Flows())
 }
@@ -266,9 +266,9 @@
 		s.open(live)
 	}
 	_, d := s.open(live)
-	require.Equal(t, bronzepool.NodeHalfOpenDenied, d.NotFollowed)
+	require.Equal(t, bronzepool.NodeHalfOpenDenied, d.TrackingDenial)
 	s.pass(openingFor + time.Second)
 	_, d = s.open(live)
-	require.Equal(t, bronzepool.Admitted, d.NotFollowed)
+	require.Equal(t, bronzepool.Admitted, d.TrackingDenial)
 	require.Equal(t, 1, s.node.Flows())
 }
