--- a/bronzeedge/packets.go
+++ b/bronzeedge/packets.go
@@ -164,8 +164,8 @@
 		fields["Tried"] = d.Tried.Instance
 		fields["TriedStatus"] = d.Tried.Status.String()
 	}
-	if d.Takes > 0 {
-		fields["TakesMS"] = d.Takes.Milliseconds()
+	if d.ExpectedDelay > 0 {
+		fields["TakesMS"] = d.ExpectedDelay.Milliseconds()
 	}
 	if !p.Open {
 		fields["Token"] = p.Token
--- a/bronzesteer/packet.go
+++ b/bronzesteer/packet.go
@@ -146,9 +146,9 @@
 	// NoneAnswers or Overloaded, it is the server that would have been asked, and where it
 	// is ZoneDrained or ServersCold the one that has an earlier copy.
 	Tried *bronzeroute.Server
-	// Takes is how long the requests at work in the pool will take, set where an
+	// ExpectedDelay is how long the requests at work in the pool will take, set where an
 	// opening is turned away.
-	Takes time.Duration
+	ExpectedDelay time.Duration
 	// TrackingDenial is why the flow isn't followed though it is forwarded, Admitted
 	// if it is or if nothing is forwarded.
 	TrackingDenial bronzepool.Denial
--- a/bronzesteer/refuse.go
+++ b/bronzesteer/refuse.go
@@ -30,7 +30,7 @@
 	}
 	takes := time.Duration(c.atWork * float64(c.backend.service.get()))
 	part := shedPart(takes, route.Objective)
-	d = Decision{Kind: End, Tried: c.server, Takes: takes}
+	d = Decision{Kind: End, Tried: c.server, ExpectedDelay: takes}
 	switch {
 	case c.tier <= tierAvoided && s.noneAnswers(k, route, s.since(now)):
 		d.Reason = NoneAnswers
