--- a/bronzeedge/packets.go
+++ b/bronzeedge/packets.go
@@ -107,8 +107,8 @@
 	if d.TrackingDenial != bronzepool.Admitted {
 		e.count("NotFollowed" + d.TrackingDenial.String())
 	}
-	if d.Opened > 0 {
-		e.counts.opening.RecordDuration(d.Opened)
+	if d.HandshakeTime > 0 {
+		e.counts.opening.RecordDuration(d.HandshakeTime)
 	}
 	if d.Hedge != bronzesteer.NotHedged {
 		e.count(d.Hedge.String())
--- a/bronzesteer/packet.go
+++ b/bronzesteer/packet.go
@@ -152,9 +152,9 @@
 	// TrackingDenial is why the flow isn't followed though it is forwarded, Admitted
 	// if it is or if nothing is forwarded.
 	TrackingDenial bronzepool.Denial
-	// Opened is how long the flow's opening took, set with the first packet
+	// HandshakeTime is how long the flow's opening took, set with the first packet
 	// of an open flow that this node has opened.
-	Opened time.Duration
+	HandshakeTime time.Duration
 	// Hedge tells with the same packet how it went if further servers were asked.
 	Hedge HedgeOutcome
 }
--- a/bronzesteer/steer.go
+++ b/bronzesteer/steer.go
@@ -340,7 +340,7 @@
 	if p.Abort {
 		sh.end(p.Key)
 	}
-	return Decision{Kind: Forward, Reason: Steered, Server: server, Token: token, Opened: opened, Hedge: hedge}
+	return Decision{Kind: Forward, Reason: Steered, Server: server, Token: token, HandshakeTime: opened, Hedge: hedge}
 }
 
 // acceptedToo takes in that a further server has accepted a flow's opening, which shows
