--- a/bronzesteer/harness_test.go
+++ b/bronzesteer/harness_test.go
@@ -106,7 +106,7 @@
 
 // repeat sends the opening again.
 func (c *client) repeat() Decision {
-	c.packet.Copy++
+	c.packet.Retransmits++
 	c.packet.Token = 0
 	return c.send()
 }
--- a/bronzesteer/packet.go
+++ b/bronzesteer/packet.go
@@ -11,9 +11,9 @@
 // Packet is what the decisions read of a caller's packet.
 type Packet struct {
 	Key bronzeflow.Key
-	// Open marks an opening. Copy counts its repetitions, 0 for the first.
-	Open bool
-	Copy int
+	// Open marks an opening. Retransmits counts its repetitions, 0 for the first.
+	Open        bool
+	Retransmits int
 	// Accept marks the acceptance of an opening, which callers never send.
 	Accept bool
 	// Final marks the caller's last byte, Abort its giving the flow up.
--- a/bronzesteer/refuse.go
+++ b/bronzesteer/refuse.go
@@ -25,7 +25,7 @@
 // reached a server, and its acceptance be on the way: the reset would end a flow
 // that is open.
 func (s *Steerer) refusal(k *known, route *bronzeroute.Route, p *Packet, c choice, now time.Time) (d Decision, ok bool) {
-	if p.Copy > 0 {
+	if p.Retransmits > 0 {
 		return d, false
 	}
 	takes := time.Duration(c.atWork * float64(c.backend.service.get()))
@@ -47,7 +47,7 @@
 // ago, so that a later one is dropped where servers are there.
 func (s *Steerer) nobody(k *known, route *bronzeroute.Route, p *Packet, now time.Time) Decision {
 	d := Decision{Kind: End, Reason: s.whyNobody(k, route, now)}
-	if d.Reason != NoServer && p.Copy > 0 {
+	if d.Reason != NoServer && p.Retransmits > 0 {
 		d.Kind = Drop
 	}
 	return d
--- a/bronzesteer/refuse_test.go
+++ b/bronzesteer/refuse_test.go
@@ -86,7 +86,7 @@
 func (c *crowd) repeat() {
 	for caller, at := range c.opening {
 		age := c.site.now.Sub(at)
-		due := caller.packet.Copy == 0 && age >= 200*time.Millisecond || caller.packet.Copy == 1 && age >= 600*time.Millisecond
+		due := caller.packet.Retransmits == 0 && age >= 200*time.Millisecond || caller.packet.Retransmits == 1 && age >= 600*time.Millisecond
 		if due {
 			require.Equal(c.site.t, Forward, caller.repeat().Kind)
 		}
@@ -124,7 +124,7 @@
 	for range 40 {
 		s.port++
 		caller := netip.AddrPortFrom(netip.MustParseAddr("100.64.0.7"), s.port)
-		p := Packet{Key: bronzeflow.NewKey(bronzeflow.TCP, caller, archive), Open: true, Copy: 1}
+		p := Packet{Key: bronzeflow.NewKey(bronzeflow.TCP, caller, archive), Open: true, Retransmits: 1}
 		require.Equal(t, Forward, s.node.Decide(&p, s.now).Kind)
 	}
 }
--- a/bronzesteer/steer.go
+++ b/bronzesteer/steer.go
@@ -266,7 +266,7 @@
 	if at-f.openedAt >= copiesApart {
 		return false
 	}
-	if p.Copy > 0 {
+	if p.Retransmits > 0 {
 		s.fit.wasLate(at)
 		f.dropOpening()
 	}
--- a/bronzesteer/warmup_test.go
+++ b/bronzesteer/warmup_test.go
@@ -190,7 +190,7 @@
 		return
 	}
 	// Some callers repeat themselves at once, as if the server was silent.
-	p.Copy = 1
+	p.Retransmits = 1
 	f.count(n.Decide(&p, f.now))
 }
 
--- a/bronzesteer/zones_test.go
+++ b/bronzesteer/zones_test.go
@@ -80,7 +80,7 @@
 	require.Equal(t, Forward, early.accept().Kind, "it was open all the while")
 
 	late, _ := s.open(live)
-	late.packet.Copy = 1
+	late.packet.Retransmits = 1
 	require.Equal(t, Drop, late.send().Kind, "another node may have placed it")
 }
 
