--- a/bronzeedge/knowledge.go
+++ b/bronzeedge/knowledge.go
@@ -156,7 +156,7 @@
 func (e *Edge) onServerEvent(ev bronzesteer.Event) {
 	e.log.Line("Server"+ev.Kind.String(), F{
 		"Instance": ev.Instance, "AvailabilityZone": ev.AvailabilityZone, "Unanswered": ev.Unanswered,
-		"SilenceMS": ev.Silence.Milliseconds(), "ForMS": ev.For.Milliseconds(), "Nodes": ev.Nodes,
+		"SilenceMS": ev.Silence.Milliseconds(), "ForMS": ev.AvoidedFor.Milliseconds(), "Nodes": ev.Nodes,
 	})
 }
 
--- a/bronzesteer/avoid.go
+++ b/bronzesteer/avoid.go
@@ -26,6 +26,6 @@
 	b.avoidUntil = until
 	return Event{
 		Kind: Avoided, Instance: b.instance, AvailabilityZone: b.zoneName,
-		Unanswered: f.openings + f.requests, Silence: at - b.goodAt, For: until - at, Nodes: len(b.found),
+		Unanswered: f.openings + f.requests, Silence: at - b.goodAt, AvoidedFor: until - at, Nodes: len(b.found),
 	}, begins
 }
--- a/bronzesteer/evidence.go
+++ b/bronzesteer/evidence.go
@@ -152,7 +152,7 @@
 	b.avoidUntil = at + b.avoidFor
 	return Event{
 		Kind: Avoided, Instance: b.instance, AvailabilityZone: b.zoneName,
-		Unanswered: b.unanswered, Silence: at - b.goodAt, For: b.avoidFor,
+		Unanswered: b.unanswered, Silence: at - b.goodAt, AvoidedFor: b.avoidFor,
 	}, true, true
 }
 
--- a/bronzesteer/steer.go
+++ b/bronzesteer/steer.go
@@ -85,8 +85,8 @@
 	// how long ago it was last seen to answer.
 	Unanswered int
 	Silence    time.Duration
-	// For is how long it is avoided.
-	For time.Duration
+	// AvoidedFor is how long it is avoided.
+	AvoidedFor time.Duration
 	// Nodes is how many other nodes have said so, 0 if this one found it itself.
 	Nodes int
 }
