--- a/bronzegossip/peers.go
+++ b/bronzegossip/peers.go
@@ -27,8 +27,8 @@
 
 // Events of OnPeer.
 const (
-	// Met: a node is heard of.
-	Met = "Met"
+	// PeerFound: a node is heard of.
+	PeerFound = "Met"
 	// Lost: a node has not been heard of for some time.
 	Lost = "Lost"
 	// Left: a node has said that it ends.
@@ -82,7 +82,7 @@
 		g.peerEvent(known, Left)
 	case known.lost && now.Sub(heardAt) < g.heardFor(now):
 		known.lost = false
-		g.peerEvent(known, Met)
+		g.peerEvent(known, PeerFound)
 	}
 }
 
