--- a/bronzegossip/fleet_test.go
+++ b/bronzegossip/fleet_test.go
@@ -21,7 +21,7 @@
 			lost, there := 0, 0
 			for _, d := range nodes {
 				d.gossip.OnPeer = func(_ Peer, event string) {
-					if event == Lost {
+					if event == PeerLost {
 						lost++
 					}
 				}
--- a/bronzegossip/peers.go
+++ b/bronzegossip/peers.go
@@ -29,8 +29,8 @@
 const (
 	// PeerFound: a node is heard of.
 	PeerFound = "Met"
-	// Lost: a node has not been heard of for some time.
-	Lost = "Lost"
+	// PeerLost: a node has not been heard of for some time.
+	PeerLost = "Lost"
 	// Left: a node has said that it ends.
 	Left = "Left"
 )
@@ -92,7 +92,7 @@
 		age := now.Sub(p.heardAt)
 		if age >= g.heardFor(now) && !p.lost {
 			p.lost = true
-			g.peerEvent(p, Lost)
+			g.peerEvent(p, PeerLost)
 		}
 		if age > rememberFor {
 			delete(g.peers, name)
