--- a/bronzegossip/peers.go
+++ b/bronzegossip/peers.go
@@ -31,8 +31,8 @@
 	PeerFound = "Met"
 	// PeerLost: a node has not been heard of for some time.
 	PeerLost = "Lost"
-	// Left: a node has said that it ends.
-	Left = "Left"
+	// PeerLeft: a node has said that it ends.
+	PeerLeft = "Left"
 )
 
 // peer is a node as this one knows it.
@@ -79,7 +79,7 @@
 	known.Peer, known.heardAt = p, heardAt
 	switch {
 	case left:
-		g.peerEvent(known, Left)
+		g.peerEvent(known, PeerLeft)
 	case known.lost && now.Sub(heardAt) < g.heardFor(now):
 		known.lost = false
 		g.peerEvent(known, PeerFound)
