--- a/bronzegossip/gossip.go
+++ b/bronzegossip/gossip.go
@@ -420,11 +420,11 @@
 // they are too many.
 func (m *Message) fit() (b []byte, err error) {
 	b, err = encode(m)
-	if err == nil && len(b) > MaxMessage {
+	if err == nil && len(b) > MaxMessageBytes {
 		m.Reports = nil
 		b, err = encode(m)
 	}
-	if err == nil && len(b) > MaxMessage {
+	if err == nil && len(b) > MaxMessageBytes {
 		m.Delta, m.Loads, m.Latencies = nil, nil, nil
 		b, err = encode(m)
 	}
--- a/bronzegossip/message.go
+++ b/bronzegossip/message.go
@@ -13,9 +13,9 @@
 // they don't know.
 const version = 1
 
-// MaxMessage is the longest message that is sent, in bytes: what fits into one
+// MaxMessageBytes is the longest message that is sent, in bytes: what fits into one
 // packet of the usual network.
-const MaxMessage = 1400
+const MaxMessageBytes = 1400
 
 // ErrVersion says that a message has a version that this build doesn't speak.
 var ErrVersion = errors.New("message of an unknown version")
--- a/bronzegossip/size_test.go
+++ b/bronzegossip/size_test.go
@@ -34,7 +34,7 @@
 	g.Tick(now)
 	require.NotEmpty(t, sent)
 	for _, b := range sent {
-		require.LessOrEqual(t, len(b), MaxMessage)
+		require.LessOrEqual(t, len(b), MaxMessageBytes)
 		m, err := decode(b)
 		require.NoError(t, err)
 		require.Len(t, m.Loads, len(loads))
