--- a/bronzeedge/knowledge.go
+++ b/bronzeedge/knowledge.go
@@ -196,7 +196,7 @@
 		// An answer that waited while the node stood still says what was true before, and
 		// one that may be stale what was true some seconds ago.
 		if !ev.Stale && !e.pauses.since(now, ev.Took) {
-			e.gossip.Contact(now)
+			e.gossip.StoreConfirmed(now)
 		}
 		if changed+removed > 0 {
 			e.gossip.Spread(ev.Delta, now)
--- a/bronzegossip/confirm.go
+++ b/bronzegossip/confirm.go
@@ -6,9 +6,9 @@
 	"bronzeusher.example/bronzeusher/bronzerecord"
 )
 
-// Contact notes that the store has just told this node that it has the newest
+// StoreConfirmed notes that the store has just told this node that it has the newest
 // records, and spreads that.
-func (g *Gossip) Contact(now time.Time) {
+func (g *Gossip) StoreConfirmed(now time.Time) {
 	g.do(now, func() {
 		stale := now.Sub(g.contact) >= fresher
 		g.contact = now
--- a/bronzegossip/gossip_test.go
+++ b/bronzegossip/gossip_test.go
@@ -144,7 +144,7 @@
 		n.records.Apply(delta)
 		n.gossip.Spread(delta, now)
 	}
-	n.gossip.Contact(now)
+	n.gossip.StoreConfirmed(now)
 }
 
 // behind counts the nodes that don't have what the store has.
