--- a/bronzeedge/edge.go
+++ b/bronzeedge/edge.go
@@ -299,7 +299,7 @@
 		now := time.Now()
 		e.gossip.Tick(now)
 		e.noteConfirmed(now)
-		e.counts.knowledge.RecordDuration(e.gossip.Confirmed(now))
+		e.counts.knowledge.RecordDuration(e.gossip.SinceConfirmed(now))
 		for _, ending := range e.steerer.Sweep(now) {
 			w.end(&ending)
 		}
--- a/bronzeedge/metrics.go
+++ b/bronzeedge/metrics.go
@@ -29,7 +29,7 @@
 	p := e.records.Position()
 	e.counts.gauge("Epoch", float64(p.Epoch))
 	e.counts.gauge("Revision", float64(p.Revision))
-	e.counts.gauge("ConfirmedSeconds", e.gossip.Confirmed(now).Seconds())
+	e.counts.gauge("ConfirmedSeconds", e.gossip.SinceConfirmed(now).Seconds())
 	e.counts.gauge("Peers", float64(e.gossip.Others(now)))
 	e.counts.gauge("Flows", float64(e.steerer.Flows()))
 	if v := e.steerer.View(); v != nil {
@@ -70,7 +70,7 @@
 	s = Status{
 		Name: e.cfg.Name, AvailabilityZone: e.cfg.AvailabilityZone,
 		Ready: e.readyStatus() == http.StatusOK, Leaving: e.isLeaving(),
-		Epoch: p.Epoch, Revision: p.Revision, ConfirmedSeconds: e.gossip.Confirmed(now).Seconds(), ReadsStore: e.reads(),
+		Epoch: p.Epoch, Revision: p.Revision, ConfirmedSeconds: e.gossip.SinceConfirmed(now).Seconds(), ReadsStore: e.reads(),
 		Peers: e.gossip.Peers(now), Servers: e.steerer.Servers(now),
 	}
 	if v := e.steerer.View(); v != nil {
--- a/bronzeedge/packets.go
+++ b/bronzeedge/packets.go
@@ -151,7 +151,7 @@
 	fields := F{
 		"Caller": p.Key.CallerAddrPort().String(), "Service": p.Key.ServiceAddrPort().String(),
 		"Decision": d.Kind.String(), "Reason": d.Reason.String(), "Open": p.Open, "Copy": p.Retransmits,
-		"ConfirmedMS": e.gossip.Confirmed(now).Milliseconds(),
+		"ConfirmedMS": e.gossip.SinceConfirmed(now).Milliseconds(),
 	}
 	if v := e.steerer.View(); v != nil {
 		fields["Version"] = v.Table.Version
--- a/bronzeedge/pause.go
+++ b/bronzeedge/pause.go
@@ -187,7 +187,7 @@
 // noteConfirmed ends the doubt in the records after a pause, once the store has confirmed
 // them to any node.
 func (e *Edge) noteConfirmed(now time.Time) {
-	first, after := e.pauses.confirm(now, e.gossip.Confirmed(now))
+	first, after := e.pauses.confirm(now, e.gossip.SinceConfirmed(now))
 	if !first {
 		return
 	}
--- a/bronzeedge/pause_test.go
+++ b/bronzeedge/pause_test.go
@@ -157,19 +157,19 @@
 		e.pauses.begin(time.Now())
 		watched := bronzerecord.Event{Kind: bronzerecord.Watched, Took: 10 * time.Millisecond}
 		e.onStoreEvent(watched)
-		require.Zero(t, e.gossip.Confirmed(time.Now()))
+		require.Zero(t, e.gossip.SinceConfirmed(time.Now()))
 		time.Sleep(5 * time.Second)
 		watched.Took = 5 * time.Second
 		e.onStoreEvent(watched)
-		require.Equal(t, 5*time.Second, e.gossip.Confirmed(time.Now()))
+		require.Equal(t, 5*time.Second, e.gossip.SinceConfirmed(time.Now()))
 		time.Sleep(200 * time.Millisecond)
 		watched.Took = 100 * time.Millisecond
 		e.onStoreEvent(watched)
-		require.Zero(t, e.gossip.Confirmed(time.Now()))
+		require.Zero(t, e.gossip.SinceConfirmed(time.Now()))
 		e.pauses.begin(time.Now().Add(100 * time.Millisecond))
 		time.Sleep(100 * time.Millisecond)
 		e.onStoreEvent(bronzerecord.Event{Kind: bronzerecord.Loaded, Stale: true})
-		require.Equal(t, 100*time.Millisecond, e.gossip.Confirmed(time.Now()), "nor does one that may be stale")
+		require.Equal(t, 100*time.Millisecond, e.gossip.SinceConfirmed(time.Now()), "nor does one that may be stale")
 		e.log.Close()
 	})
 }
--- a/bronzeedge/peers.go
+++ b/bronzeedge/peers.go
@@ -155,7 +155,7 @@
 	if e.reading.Swap(reads) != reads {
 		p := e.records.Position()
 		e.log.Line("ReadsStore", F{
-			"Reads": reads, "Epoch": p.Epoch, "Revision": p.Revision, "ConfirmedMS": e.gossip.Confirmed(now).Milliseconds(),
+			"Reads": reads, "Epoch": p.Epoch, "Revision": p.Revision, "ConfirmedMS": e.gossip.SinceConfirmed(now).Milliseconds(),
 			"Peers": e.gossip.Others(now),
 		})
 	}
--- a/bronzegossip/confirm.go
+++ b/bronzegossip/confirm.go
@@ -62,8 +62,8 @@
 	return news && now.Sub(contact) < confirmedFor
 }
 
-// Confirmed returns how long ago the store confirmed this node's records.
-func (g *Gossip) Confirmed(now time.Time) time.Duration {
+// SinceConfirmed returns how long ago the store confirmed this node's records.
+func (g *Gossip) SinceConfirmed(now time.Time) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.confirmed(now)
--- a/bronzegossip/gossip_test.go
+++ b/bronzegossip/gossip_test.go
@@ -339,14 +339,14 @@
 	// While the one is suspended, the other's time goes on.
 	woken.stopped = true
 	s.run(nodes, 4*time.Second)
-	before := other.gossip.Confirmed(other.net.now)
+	before := other.gossip.SinceConfirmed(other.net.now)
 	require.Greater(t, before, 3*time.Second)
 
 	woken.stopped = false
 	woken.gossip.contact = other.net.now.Add(-100 * time.Millisecond)
 	woken.gossip.Suspended(4 * time.Second)
 	s.run(nodes, time.Second)
-	require.Greater(t, other.gossip.Confirmed(other.net.now), before)
+	require.Greater(t, other.gossip.SinceConfirmed(other.net.now), before)
 }
 
 // A zone is cut off from the others; all zones reach the store. Each side has
@@ -460,7 +460,7 @@
 		calls := woken.calls
 		s.run(nodes, 3*time.Second)
 		require.Equal(t, calls, woken.calls)
-		require.Less(t, woken.gossip.Confirmed(woken.net.now), 2*time.Second)
+		require.Less(t, woken.gossip.SinceConfirmed(woken.net.now), 2*time.Second)
 
 		for _, d := range nodes {
 			d.stopped = d != woken
