--- a/bronzeedge/peers.go
+++ b/bronzeedge/peers.go
@@ -133,7 +133,7 @@
 // tellReports tells other nodes what this one has found of servers, if there is news.
 func (e *Edge) tellReports(now time.Time) {
 	if e.steerer.HasNewReports() {
-		e.gossip.Report(now)
+		e.gossip.SpreadReports(now)
 	}
 }
 
--- a/bronzegossip/report.go
+++ b/bronzegossip/report.go
@@ -11,10 +11,10 @@
 	reportEach        = 5 * time.Millisecond
 )
 
-// Report passes on what is new in Reports, at once or as soon as it may. Reports of a
+// SpreadReports passes on what is new in Reports, at once or as soon as it may. Reports of a
 // server that fails reach all nodes within some steps, so that callers of each don't have
 // to find it out.
-func (g *Gossip) Report(now time.Time) {
+func (g *Gossip) SpreadReports(now time.Time) {
 	g.do(now, func() {
 		g.reportsDue = true
 		g.passReports(now)
--- a/bronzegossip/report_test.go
+++ b/bronzegossip/report_test.go
@@ -36,7 +36,7 @@
 			for _, r := range reports {
 				if _, known := h[r.Server]; !known {
 					h[r.Server] = r
-					d.gossip.Report(now)
+					d.gossip.SpreadReports(now)
 				}
 			}
 		}
@@ -58,7 +58,7 @@
 		usual := net.sent - sent
 
 		heard[0][42] = Report{Server: 42, Node: 1}
-		nodes[0].gossip.Report(net.now)
+		nodes[0].gossip.SpreadReports(net.now)
 		net.deliver()
 		sent = net.sent
 		s.run(nodes, 2*largeInterval)
@@ -90,11 +90,11 @@
 	const atOnce, after = 32, 20
 	for i := range uint32(atOnce) {
 		heard[i][1000+i] = Report{Server: 1000 + i, Node: math.MaxUint32, FirstMS: 999, LastMS: 999}
-		nodes[i].gossip.Report(net.now)
+		nodes[i].gossip.SpreadReports(net.now)
 	}
 	for i := range uint32(after) {
 		heard[i][i] = Report{Server: i, Node: math.MaxUint32, FirstMS: 999, LastMS: 999}
-		nodes[i].gossip.Report(net.now)
+		nodes[i].gossip.SpreadReports(net.now)
 		net.deliver()
 		s.run(nodes, step)
 	}
@@ -125,7 +125,7 @@
 		p.Name = fmt.Sprintf("edge-%d", i)
 		g.hearOf(p, now)
 	}
-	g.Report(now)
+	g.SpreadReports(now)
 	require.Len(t, sent, fanout)
 	m, err := decode(sent[0])
 	require.NoError(t, err)
