--- a/bronzeedge/metrics.go
+++ b/bronzeedge/metrics.go
@@ -30,7 +30,7 @@
 	e.counts.gauge("Epoch", float64(p.Epoch))
 	e.counts.gauge("Revision", float64(p.Revision))
 	e.counts.gauge("ConfirmedSeconds", e.gossip.SinceConfirmed(now).Seconds())
-	e.counts.gauge("Peers", float64(e.gossip.Others(now)))
+	e.counts.gauge("Peers", float64(e.gossip.PeerCount(now)))
 	e.counts.gauge("Flows", float64(e.steerer.Flows()))
 	if v := e.steerer.View(); v != nil {
 		e.counts.gauge("DrainedZones", float64(len(v.DrainedZones)))
--- a/bronzeedge/peers.go
+++ b/bronzeedge/peers.go
@@ -97,7 +97,7 @@
 		}
 	}
 	e.steerer.SetLoads(from, in, now)
-	e.steerer.SetPeerCount(e.gossip.Others(now))
+	e.steerer.SetPeerCount(e.gossip.PeerCount(now))
 }
 
 func (e *Edge) reports(all bool, now time.Time) (out []bronzegossip.Report) {
@@ -156,7 +156,7 @@
 		p := e.records.Position()
 		e.log.Line("ReadsStore", F{
 			"Reads": reads, "Epoch": p.Epoch, "Revision": p.Revision, "ConfirmedMS": e.gossip.SinceConfirmed(now).Milliseconds(),
-			"Peers": e.gossip.Others(now),
+			"Peers": e.gossip.PeerCount(now),
 		})
 	}
 	return reads
--- a/bronzegossip/fleet_test.go
+++ b/bronzegossip/fleet_test.go
@@ -28,7 +28,7 @@
 			}
 			s.run(nodes, 10*time.Second)
 			for _, d := range nodes {
-				there += d.gossip.Others(d.net.now)
+				there += d.gossip.PeerCount(d.net.now)
 			}
 			require.Greater(t, float64(there)/float64(n*(n-1)), 0.95)
 			require.LessOrEqual(t, float64(lost)/float64(n*(n-1)), 0.1)
--- a/bronzegossip/gossip_test.go
+++ b/bronzegossip/gossip_test.go
@@ -219,7 +219,7 @@
 	started := startAmong(s, nodes, func(*node) {})
 	require.False(t, started.gossip.Reads(started.net.now))
 	s.run(nodes, meetFor+step)
-	require.GreaterOrEqual(t, started.gossip.Others(started.net.now), fanout)
+	require.GreaterOrEqual(t, started.gossip.PeerCount(started.net.now), fanout)
 	require.Equal(t, started.gossip.rank(started.net.now).reader, started.gossip.Reads(started.net.now))
 
 	alone := newAlone(s)
@@ -456,7 +456,7 @@
 		woken.stopped = false
 		woken.gossip.Paused(4*time.Second, 0, woken.net.now)
 		woken.gossip.Tick(woken.net.now)
-		require.Equal(t, n-1, woken.gossip.Others(woken.net.now))
+		require.Equal(t, n-1, woken.gossip.PeerCount(woken.net.now))
 		calls := woken.calls
 		s.run(nodes, 3*time.Second)
 		require.Equal(t, calls, woken.calls)
@@ -466,6 +466,6 @@
 			d.stopped = d != woken
 		}
 		s.run(nodes, 20*time.Second)
-		require.Zero(t, woken.gossip.Others(woken.net.now), "those that are gone since are lost as ever")
+		require.Zero(t, woken.gossip.PeerCount(woken.net.now), "those that are gone since are lost as ever")
 	}
 }
--- a/bronzegossip/peers.go
+++ b/bronzegossip/peers.go
@@ -169,8 +169,8 @@
 	return d
 }
 
-// Others returns how many nodes were heard of lately.
-func (g *Gossip) Others(now time.Time) int {
+// PeerCount returns how many nodes were heard of lately.
+func (g *Gossip) PeerCount(now time.Time) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.there(now)
