--- a/bronzeedge/peers.go
+++ b/bronzeedge/peers.go
@@ -169,7 +169,7 @@
 	if v == nil || len(v.Table.Warmups) == 0 {
 		return
 	}
-	names, others := e.gossip.Remembered(e.cfg.AvailabilityZone)
+	names, others := e.gossip.KnownPeers(e.cfg.AvailabilityZone)
 	e.steerer.SetZonePeers(names, others > 0 || e.joinsNobody(), now)
 }
 
--- a/bronzegossip/peers.go
+++ b/bronzegossip/peers.go
@@ -176,10 +176,10 @@
 	return g.there(now)
 }
 
-// Remembered returns the names of the nodes of an AvailabilityZone that were heard of in the
+// KnownPeers returns the names of the nodes of an AvailabilityZone that were heard of in the
 // last minutes, whether they are there or not, in order, and how many nodes of all zones
 // were.
-func (g *Gossip) Remembered(zone string) (names []string, all int) {
+func (g *Gossip) KnownPeers(zone string) (names []string, all int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, p := range g.byName {
