--- a/bronzeedge/peers.go
+++ b/bronzeedge/peers.go
@@ -151,7 +151,7 @@
 func (e *Edge) reads() bool {
 	e.lookForPause()
 	now := time.Now()
-	reads := e.gossip.Reads(now)
+	reads := e.gossip.ShouldRead(now)
 	if e.reading.Swap(reads) != reads {
 		p := e.records.Position()
 		e.log.Line("ReadsStore", F{
--- a/bronzegossip/fleet_test.go
+++ b/bronzegossip/fleet_test.go
@@ -76,7 +76,7 @@
 	asked := 0
 	for _, d := range nodes {
 		calls += d.calls
-		if d.gossip.Reads(d.net.now) {
+		if d.gossip.ShouldRead(d.net.now) {
 			asked++
 		}
 		d.reaches = true
--- a/bronzegossip/gossip_test.go
+++ b/bronzegossip/gossip_test.go
@@ -131,7 +131,7 @@
 
 func (s *store) read(n *node, now time.Time, due bool) {
 	mine := n.records.Position()
-	if !n.gossip.Reads(now) || mine == s.position() && !due {
+	if !n.gossip.ShouldRead(now) || mine == s.position() && !due {
 		return
 	}
 	n.calls++
@@ -159,7 +159,7 @@
 
 func readers(nodes []*node) (list []*node) {
 	for _, d := range nodes {
-		if !d.stopped && d.gossip.Reads(d.net.now) {
+		if !d.stopped && d.gossip.ShouldRead(d.net.now) {
 			list = append(list, d)
 		}
 	}
@@ -217,14 +217,14 @@
 	_, nodes := newNetwork(9)
 	s := &store{revision: 5}
 	started := startAmong(s, nodes, func(*node) {})
-	require.False(t, started.gossip.Reads(started.net.now))
+	require.False(t, started.gossip.ShouldRead(started.net.now))
 	s.run(nodes, meetFor+step)
 	require.GreaterOrEqual(t, started.gossip.PeerCount(started.net.now), fanout)
-	require.Equal(t, started.gossip.rank(started.net.now).reader, started.gossip.Reads(started.net.now))
+	require.Equal(t, started.gossip.rank(started.net.now).reader, started.gossip.ShouldRead(started.net.now))
 
 	alone := newAlone(s)
 	s.run([]*node{alone}, meetFor+step)
-	require.True(t, alone.gossip.Reads(alone.net.now), "there is nobody else")
+	require.True(t, alone.gossip.ShouldRead(alone.net.now), "there is nobody else")
 }
 
 // newAlone returns a node without others.
@@ -393,7 +393,7 @@
 	leaving := readers(nodes)[0]
 	leaving.gossip.Leave(leaving.net.now)
 	s.run(nodes, 200*time.Millisecond)
-	require.False(t, leaving.gossip.Reads(leaving.net.now))
+	require.False(t, leaving.gossip.ShouldRead(leaving.net.now))
 	require.Len(t, readers(nodes), 2)
 }
 
--- a/bronzegossip/reader.go
+++ b/bronzegossip/reader.go
@@ -35,8 +35,8 @@
 	return after
 }
 
-// Reads reports whether this node is to read the store now.
-func (g *Gossip) Reads(now time.Time) bool {
+// ShouldRead reports whether this node is to read the store now.
+func (g *Gossip) ShouldRead(now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.Records.Position().IsZero() {
--- a/bronzegossip/reader_test.go
+++ b/bronzegossip/reader_test.go
@@ -77,7 +77,7 @@
 	g.Records.Apply(bronzerecord.Delta{Whole: true, To: 1})
 	b.ReportAllocs()
 	for b.Loop() {
-		g.Reads(now)
+		g.ShouldRead(now)
 	}
 }
 
