--- a/bronzeedge/peers.go
+++ b/bronzeedge/peers.go
@@ -63,7 +63,7 @@
 	g.Records = &e.records
 	g.Send = e.sendPeer
 	g.Fetch = e.fetch
-	g.FetchFormer = e.fetchFormer
+	g.FetchLostHistory = e.fetchFormer
 	g.OnPeer = e.onPeer
 	g.Count = e.count
 	g.Loads = e.loads
--- a/bronzegossip/epoch_test.go
+++ b/bronzegossip/epoch_test.go
@@ -56,7 +56,7 @@
 	net, nodes := newNetwork(9)
 	asked := make(map[*node]int)
 	for _, d := range nodes {
-		d.gossip.FetchFormer = func(peer Peer) {
+		d.gossip.FetchLostHistory = func(peer Peer) {
 			asked[d]++
 			net.queue = append(net.queue, func() {
 				if r, ok := net.nodes[peer.Address].records.Recollection(); ok {
--- a/bronzegossip/gossip.go
+++ b/bronzegossip/gossip.go
@@ -56,9 +56,9 @@
 	// this node's. It must not wait; calls while one is under way are to be
 	// ignored.
 	Fetch func(peer Peer, since bronzerecord.Position)
-	// FetchFormer is called when peer remembers more than this node of what the store lost
+	// FetchLostHistory is called when peer remembers more than this node of what the store lost
 	// by coming back from a copy. It is called like Fetch; nil if nothing is remembered.
-	FetchFormer func(peer Peer)
+	FetchLostHistory func(peer Peer)
 	// Random returns a number in [0, n); rand.IntN if nil.
 	Random func(n int) int
 	// Loads returns this node's loads on servers, nil for none, and the latencies of the
@@ -260,8 +260,8 @@
 	if mine := g.Records.Position(); mine.Before(m.position()) && g.fetches(mine, &m, now) {
 		g.Fetch(m.From, mine)
 	}
-	if g.FetchFormer != nil && g.recalls(&m) {
-		g.FetchFormer(m.From)
+	if g.FetchLostHistory != nil && g.recalls(&m) {
+		g.FetchLostHistory(m.From)
 	}
 }
 
