--- a/bronzeedge/recall.go
+++ b/bronzeedge/recall.go
@@ -7,7 +7,7 @@
 )
 
 // lostNames returns the names of the records that were there before the store lost them.
-func lostNames(lost []bronzerecord.Lost) (names map[string]bool) {
+func lostNames(lost []bronzerecord.LostRecord) (names map[string]bool) {
 	names = make(map[string]bool, len(lost))
 	for i := range lost {
 		names[lost[i].Record.Name] = !lost[i].Removed
@@ -19,7 +19,7 @@
 // its time is over. A table counts for as long as it is the newest. A drain that had ended and
 // is back is obeyed: that costs distance, and to ignore one that the operator has just asked
 // for would send callers to servers that are about to end.
-func (e *Edge) recall(l *bronzerecord.Lost, now time.Time) (changed bool) {
+func (e *Edge) recall(l *bronzerecord.LostRecord, now time.Time) (changed bool) {
 	until := now.Add(bronzerecord.RecallFor - l.Age)
 	if e.seams.Decoder.IsTable(l.Record.Name) {
 		return !l.Removed && e.takeTable(l.Record, l.Epoch, now)
@@ -34,7 +34,7 @@
 	return e.recallServer(instance, l, now, until)
 }
 
-func (e *Edge) recallZone(zone string, l *bronzerecord.Lost, until time.Time) (changed bool) {
+func (e *Edge) recallZone(zone string, l *bronzerecord.LostRecord, until time.Time) (changed bool) {
 	if zone == "" || !l.Absent || !e.book.directory.RecallZone(zone, until) {
 		return false
 	}
@@ -43,7 +43,7 @@
 	return true
 }
 
-func (e *Edge) recallServer(instance string, l *bronzerecord.Lost, now, until time.Time) (changed bool) {
+func (e *Edge) recallServer(instance string, l *bronzerecord.LostRecord, now, until time.Time) (changed bool) {
 	fields := F{
 		"Instance": instance, "Removed": l.Removed, "Absent": l.Absent, "Epoch": l.Epoch, "Revision": l.Record.Revision,
 		"Until": until.UTC(),
--- a/bronzeedge/recall_test.go
+++ b/bronzeedge/recall_test.go
@@ -237,7 +237,7 @@
 }
 
 // tell takes in what a node must know since a peer told it what the store lost.
-func (d *drill) tell(n, peer *drillNode, lost []bronzerecord.Lost) {
+func (d *drill) tell(n, peer *drillNode, lost []bronzerecord.LostRecord) {
 	if n.edge.records.Position() != peer.edge.records.Position() {
 		return
 	}
--- a/bronzerecord/recollection.go
+++ b/bronzerecord/recollection.go
@@ -10,9 +10,9 @@
 // copy. Whoever wrote it writes it again within seconds, or not at all.
 const RecallFor = 10 * time.Second
 
-// Lost is the last that was known of a record in an earlier epoch of the store,
+// LostRecord is the last that was known of a record in an earlier epoch of the store,
 // which the copy doesn't have.
-type Lost struct {
+type LostRecord struct {
 	// Record is as it was then. Removed says that it had been removed: its Name and
 	// Revision are all there is then.
 	Record  Record
@@ -31,7 +31,7 @@
 }
 
 // position returns how late in the store's history the record is known.
-func (l *Lost) position() Position { return Position{Epoch: l.Epoch, Revision: l.Record.Revision} }
+func (l *LostRecord) position() Position { return Position{Epoch: l.Epoch, Revision: l.Record.Revision} }
 
 // Recollection is what is known of earlier epochs of the store and was lost, as one
 // node tells it to another.
@@ -40,7 +40,7 @@
 	Epoch uint64
 	// Former is up to where the earlier epochs are known.
 	Former Position
-	Lost   []Lost
+	Lost   []LostRecord
 }
 
 // memory is what a Set remembers of earlier epochs.
@@ -49,7 +49,7 @@
 	// lost are the states of each record, the earliest first. Which of two epochs' is
 	// the last word the revisions don't tell: the first contents of an epoch may have
 	// what was written again already.
-	lost map[string][]Lost
+	lost map[string][]LostRecord
 }
 
 // maxStates is how many states of a record are kept.
@@ -81,7 +81,7 @@
 }
 
 // remembered returns the lost records by name.
-func (s *Set) remembered(now time.Time) (lost []Lost) {
+func (s *Set) remembered(now time.Time) (lost []LostRecord) {
 	for _, name := range slices.Sorted(maps.Keys(s.memory.lost)) {
 		for _, l := range s.memory.lost[name] {
 			l.Age, l.Absent = now.Sub(l.at), s.lacks(&l)
@@ -105,7 +105,7 @@
 }
 
 // recall returns what is new in r.
-func (s *Set) recall(r *Recollection, now time.Time) (lost []Lost) {
+func (s *Set) recall(r *Recollection, now time.Time) (lost []LostRecord) {
 	if r.Epoch != s.position.Epoch {
 		return nil
 	}
@@ -125,13 +125,13 @@
 }
 
 // lacks reports whether this copy has no record of the name.
-func (s *Set) lacks(l *Lost) bool {
+func (s *Set) lacks(l *LostRecord) bool {
 	_, ok := s.records[l.Record.Name]
 	return !ok
 }
 
 // writtenAgain reports whether the present epoch has a later word on a lost record.
-func (s *Set) writtenAgain(l *Lost) bool {
+func (s *Set) writtenAgain(l *LostRecord) bool {
 	if r, ok := s.records[l.Record.Name]; ok && r.Revision > l.Since {
 		return true
 	}
@@ -141,14 +141,14 @@
 }
 
 // remember keeps a lost state of a record; added is false if it is kept already.
-func (s *Set) remember(l Lost) (added bool) {
+func (s *Set) remember(l LostRecord) (added bool) {
 	states := s.memory.lost[l.Record.Name]
-	i, found := slices.BinarySearchFunc(states, l.position(), func(l Lost, p Position) int { return l.position().compare(p) })
+	i, found := slices.BinarySearchFunc(states, l.position(), func(l LostRecord, p Position) int { return l.position().compare(p) })
 	if found {
 		return false
 	}
 	if s.memory.lost == nil {
-		s.memory.lost = make(map[string][]Lost)
+		s.memory.lost = make(map[string][]LostRecord)
 	}
 	states = slices.Insert(states, i, l)
 	s.memory.lost[l.Record.Name] = states[max(0, len(states)-maxStates):]
@@ -159,7 +159,7 @@
 // revision.
 func (s *Set) forget(name string, revision uint64) (forgotten bool) {
 	states := s.memory.lost[name]
-	kept := slices.DeleteFunc(states, func(l Lost) bool { return revision > l.Since })
+	kept := slices.DeleteFunc(states, func(l LostRecord) bool { return revision > l.Since })
 	s.keep(name, kept)
 	return len(kept) < len(states)
 }
@@ -167,12 +167,12 @@
 // expire drops what nobody has written again.
 func (s *Set) expire(now time.Time) {
 	for name, states := range s.memory.lost {
-		s.keep(name, slices.DeleteFunc(states, func(l Lost) bool { return now.Sub(l.at) >= RecallFor }))
+		s.keep(name, slices.DeleteFunc(states, func(l LostRecord) bool { return now.Sub(l.at) >= RecallFor }))
 	}
 }
 
 // keep replaces the lost states of a record.
-func (s *Set) keep(name string, states []Lost) {
+func (s *Set) keep(name string, states []LostRecord) {
 	if len(states) == 0 {
 		delete(s.memory.lost, name)
 		return
@@ -192,7 +192,7 @@
 	for i := range d.Changed {
 		present[d.Changed[i].Name] = &d.Changed[i]
 	}
-	lost := Lost{Epoch: s.position.Epoch, Since: d.To, at: now}
+	lost := LostRecord{Epoch: s.position.Epoch, Since: d.To, at: now}
 	for name, r := range s.records {
 		if found := present[name]; found == nil || !found.same(&r) {
 			lost.Record = r
--- a/bronzerecord/recollection_test.go
+++ b/bronzerecord/recollection_test.go
@@ -9,7 +9,7 @@
 )
 
 // names returns the names of lost records.
-func names(lost []Lost) (list []string) {
+func names(lost []LostRecord) (list []string) {
 	for _, l := range lost {
 		list = append(list, l.Record.Name)
 	}
@@ -67,7 +67,7 @@
 		var whole Set
 		d, ok := s.Since(Position{})
 		require.True(t, ok)
-		var told []Lost
+		var told []LostRecord
 		whole.OnChange = func(c Change) { told = c.Lost }
 		require.True(t, whole.Apply(d))
 		require.Equal(t, []string{"drained", "removed", "written"}, names(told))
--- a/bronzerecord/set.go
+++ b/bronzerecord/set.go
@@ -57,7 +57,7 @@
 	// Lost is what the store has lost by coming back from a copy, the earliest states
 	// first. It is to count for more than Changed and Removed until it is written
 	// again, or for RecallFor.
-	Lost []Lost
+	Lost []LostRecord
 }
 
 // Set is a copy of the store's records. The zero Set is empty and ready. All
