--- a/bronzeedge/peers.go
+++ b/bronzeedge/peers.go
@@ -256,7 +256,7 @@
 	}
 	go func() {
 		defer e.fetching.Store(false)
-		var r bronzerecord.Recollection
+		var r bronzerecord.LostHistory
 		err := e.get(peer.Records, formerPath, nil, &r)
 		fields := F{
 			"Peer": peer.Name, "Epoch": r.Epoch, "FormerEpoch": r.Former.Epoch, "FormerRevision": r.Former.Revision,
--- a/bronzeedge/peers_test.go
+++ b/bronzeedge/peers_test.go
@@ -62,7 +62,7 @@
 	defer server.Close()
 	asker := &Edge{fetches: server.Client()}
 	address := netip.MustParseAddrPort(server.Listener.Addr().String())
-	var r bronzerecord.Recollection
+	var r bronzerecord.LostHistory
 	require.ErrorContains(t, asker.get(address, formerPath, nil, &r), "204")
 
 	e.records.Apply(bronzerecord.Delta{Epoch: 1, Whole: true, To: 7, Changed: []bronzerecord.Record{{Name: "routes", Revision: 7, Body: []byte("lost")}}})
--- a/bronzerecord/fuzz_test.go
+++ b/bronzerecord/fuzz_test.go
@@ -11,7 +11,7 @@
 // back, remembers nothing longer than it may, and what it tells others leads them to where it
 // is.
 func FuzzDeltas(f *testing.F) {
-	lost := Recollection{Epoch: 2, Former: Position{Epoch: 1, Revision: 9}, Lost: []LostRecord{
+	lost := LostHistory{Epoch: 2, Former: Position{Epoch: 1, Revision: 9}, Lost: []LostRecord{
 		{Record: Record{Name: "a", Revision: 9}, Epoch: 1, Since: 3}, {Record: Record{Name: "b"}, Removed: true, Age: -1},
 	}}
 	deltas := []Delta{
--- a/bronzerecord/recollection.go
+++ b/bronzerecord/recollection.go
@@ -33,9 +33,9 @@
 // position returns how late in the store's history the record is known.
 func (l *LostRecord) position() Position { return Position{Epoch: l.Epoch, Revision: l.Record.Revision} }
 
-// Recollection is what is known of earlier epochs of the store and was lost, as one
+// LostHistory is what is known of earlier epochs of the store and was lost, as one
 // node tells it to another.
-type Recollection struct {
+type LostHistory struct {
 	// Epoch is the one that lost it.
 	Epoch uint64
 	// Former is up to where the earlier epochs are known.
@@ -66,18 +66,18 @@
 
 // Recollection returns what this copy remembers of earlier epochs; ok is false if it is
 // nothing.
-func (s *Set) Recollection() (r Recollection, ok bool) {
+func (s *Set) Recollection() (r LostHistory, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.recollection(time.Now())
 }
 
-func (s *Set) recollection(now time.Time) (r Recollection, ok bool) {
+func (s *Set) recollection(now time.Time) (r LostHistory, ok bool) {
 	s.expire(now)
 	if len(s.memory.lost) == 0 {
 		return r, false
 	}
-	return Recollection{Epoch: s.position.Epoch, Former: s.memory.former, Lost: s.remembered(now)}, true
+	return LostHistory{Epoch: s.position.Epoch, Former: s.memory.former, Lost: s.remembered(now)}, true
 }
 
 // remembered returns the lost records by name.
@@ -92,7 +92,7 @@
 }
 
 // Recall takes in what a peer in the same epoch remembers of earlier ones.
-func (s *Set) Recall(r Recollection) (taken bool) {
+func (s *Set) Recall(r LostHistory) (taken bool) {
 	s.apply.Lock()
 	defer s.apply.Unlock()
 	s.mu.Lock()
@@ -105,7 +105,7 @@
 }
 
 // recall returns what is new in r.
-func (s *Set) recall(r *Recollection, now time.Time) (lost []LostRecord) {
+func (s *Set) recall(r *LostHistory, now time.Time) (lost []LostRecord) {
 	if r.Epoch != s.position.Epoch {
 		return nil
 	}
--- a/bronzerecord/set.go
+++ b/bronzerecord/set.go
@@ -30,7 +30,7 @@
 	Removed []Removal
 	// Recollection is what a peer adds to whole contents: what it knows of earlier
 	// epochs and the store lost.
-	Recollection *Recollection `cbor:",omitempty"`
+	Recollection *LostHistory `cbor:",omitempty"`
 }
 
 // end returns where the delta leads to.
