--- a/bronzeedge/peers.go
+++ b/bronzeedge/peers.go
@@ -348,7 +348,7 @@
 
 // answerFormer answers a peer that knows less of earlier epochs than this node.
 func (e *Edge) answerFormer(w http.ResponseWriter, _ *http.Request) {
-	r, ok := e.records.Recollection()
+	r, ok := e.records.LostHistory()
 	if !ok {
 		w.WriteHeader(http.StatusNoContent)
 		return
--- a/bronzeedge/recall_test.go
+++ b/bronzeedge/recall_test.go
@@ -229,7 +229,7 @@
 	if delta, ok := peer.edge.records.Since(n.edge.records.Position()); ok {
 		n.edge.records.Apply(delta)
 	}
-	if r, ok := peer.edge.records.Recollection(); ok {
+	if r, ok := peer.edge.records.LostHistory(); ok {
 		n.edge.records.Recall(r)
 		d.tell(n, peer, r.Lost)
 	}
--- a/bronzegossip/epoch_test.go
+++ b/bronzegossip/epoch_test.go
@@ -59,7 +59,7 @@
 		d.gossip.FetchLostHistory = func(peer Peer) {
 			asked[d]++
 			net.queue = append(net.queue, func() {
-				if r, ok := net.nodes[peer.Address].records.Recollection(); ok {
+				if r, ok := net.nodes[peer.Address].records.LostHistory(); ok {
 					d.records.Recall(r)
 				}
 			})
--- a/bronzerecord/fuzz_test.go
+++ b/bronzerecord/fuzz_test.go
@@ -42,7 +42,7 @@
 				s.Recall(*d.Recollection)
 			}
 		}
-		r, _ := s.Recollection()
+		r, _ := s.LostHistory()
 		for i := range r.Lost {
 			require.GreaterOrEqual(t, r.Lost[i].Age.Nanoseconds(), int64(0))
 			require.Less(t, r.Lost[i].Age, RecallFor)
--- a/bronzerecord/recollection.go
+++ b/bronzerecord/recollection.go
@@ -64,9 +64,9 @@
 	return s.memory.former, len(s.memory.lost)
 }
 
-// Recollection returns what this copy remembers of earlier epochs; ok is false if it is
+// LostHistory returns what this copy remembers of earlier epochs; ok is false if it is
 // nothing.
-func (s *Set) Recollection() (r LostHistory, ok bool) {
+func (s *Set) LostHistory() (r LostHistory, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.recollection(time.Now())
--- a/bronzerecord/recollection_test.go
+++ b/bronzerecord/recollection_test.go
@@ -54,7 +54,7 @@
 		former, n := s.Former()
 		require.Zero(t, n)
 		require.Equal(t, Position{Revision: 5}, former)
-		_, ok := s.Recollection()
+		_, ok := s.LostHistory()
 		require.False(t, ok)
 	})
 }
@@ -74,7 +74,7 @@
 
 		var started Set
 		require.True(t, started.Apply(Delta{Epoch: 1, Whole: true, To: 3, Changed: []Record{{Name: "written", Revision: 3}}}))
-		r, ok := s.Recollection()
+		r, ok := s.LostHistory()
 		require.True(t, ok)
 		require.True(t, started.Recall(r))
 		require.False(t, started.Recall(r), "it knows")
@@ -100,7 +100,7 @@
 			time.Sleep(RecallFor - time.Nanosecond)
 			require.True(t, s.Apply(Delta{Epoch: epoch, Whole: true, To: 9, Changed: []Record{{Name: "written", Revision: 9, Body: []byte{byte(epoch)}}}}))
 		}
-		r, ok := s.Recollection()
+		r, ok := s.LostHistory()
 		require.True(t, ok)
 		require.Subset(t, names(r.Lost), []string{"drained", "removed"})
 		require.LessOrEqual(t, len(r.Lost), 4*maxStates)
