--- a/bronzeedge/peers.go
+++ b/bronzeedge/peers.go
@@ -267,7 +267,7 @@
 		}
 		e.log.Line("FetchedFormer", fields)
 		if err == nil {
-			e.records.Recall(r)
+			e.records.MergeLostHistory(r)
 		}
 	}()
 }
--- a/bronzeedge/recall_test.go
+++ b/bronzeedge/recall_test.go
@@ -230,7 +230,7 @@
 		n.edge.records.Apply(delta)
 	}
 	if r, ok := peer.edge.records.LostHistory(); ok {
-		n.edge.records.Recall(r)
+		n.edge.records.MergeLostHistory(r)
 		d.tell(n, peer, r.Lost)
 	}
 	d.note(n)
--- a/bronzegossip/epoch_test.go
+++ b/bronzegossip/epoch_test.go
@@ -60,7 +60,7 @@
 			asked[d]++
 			net.queue = append(net.queue, func() {
 				if r, ok := net.nodes[peer.Address].records.LostHistory(); ok {
-					d.records.Recall(r)
+					d.records.MergeLostHistory(r)
 				}
 			})
 		}
--- a/bronzerecord/fuzz_test.go
+++ b/bronzerecord/fuzz_test.go
@@ -39,7 +39,7 @@
 			s.Apply(d)
 			require.False(t, s.Position().Before(before))
 			if d.Recollection != nil {
-				s.Recall(*d.Recollection)
+				s.MergeLostHistory(*d.Recollection)
 			}
 		}
 		r, _ := s.LostHistory()
--- a/bronzerecord/recollection.go
+++ b/bronzerecord/recollection.go
@@ -91,8 +91,8 @@
 	return lost
 }
 
-// Recall takes in what a peer in the same epoch remembers of earlier ones.
-func (s *Set) Recall(r LostHistory) (taken bool) {
+// MergeLostHistory takes in what a peer in the same epoch remembers of earlier ones.
+func (s *Set) MergeLostHistory(r LostHistory) (taken bool) {
 	s.apply.Lock()
 	defer s.apply.Unlock()
 	s.mu.Lock()
--- a/bronzerecord/recollection_test.go
+++ b/bronzerecord/recollection_test.go
@@ -76,15 +76,15 @@
 		require.True(t, started.Apply(Delta{Epoch: 1, Whole: true, To: 3, Changed: []Record{{Name: "written", Revision: 3}}}))
 		r, ok := s.LostHistory()
 		require.True(t, ok)
-		require.True(t, started.Recall(r))
-		require.False(t, started.Recall(r), "it knows")
+		require.True(t, started.MergeLostHistory(r))
+		require.False(t, started.MergeLostHistory(r), "it knows")
 		former, n := started.Former()
 		require.Equal(t, 2, n)
 		require.Equal(t, Position{Revision: 5}, former)
 
 		later := Set{}
 		require.True(t, later.Apply(Delta{Epoch: 2, Whole: true, To: 3}))
-		require.False(t, later.Recall(r), "it is of another epoch")
+		require.False(t, later.MergeLostHistory(r), "it is of another epoch")
 
 		time.Sleep(RecallFor / 2)
 		_, n = started.Former()
