--- a/bronzegossip/epoch_test.go
+++ b/bronzegossip/epoch_test.go
@@ -76,7 +76,7 @@
 	started.records = bronzerecord.Set{}
 	require.True(t, started.records.Apply(bronzerecord.Delta{Epoch: 2, Whole: true, To: 20}))
 	s.run(nodes, 2*time.Second)
-	former, lost := started.records.Former()
+	former, lost := started.records.FormerPosition()
 	require.Equal(t, bronzerecord.Position{Epoch: 1, Revision: 50}, former)
 	require.Positive(t, lost)
 	require.Equal(t, 1, asked[started])
--- a/bronzegossip/gossip.go
+++ b/bronzegossip/gossip.go
@@ -271,7 +271,7 @@
 	if m.former().IsZero() || m.Epoch != g.Records.Position().Epoch {
 		return false
 	}
-	former, _ := g.Records.Former()
+	former, _ := g.Records.FormerPosition()
 	return former.Before(m.former())
 }
 
@@ -362,7 +362,7 @@
 	m.From.Leaving = g.leaving
 	mine := g.Records.Position()
 	m.Epoch, m.Revision = mine.Epoch, mine.Revision
-	if former, lost := g.Records.Former(); lost > 0 {
+	if former, lost := g.Records.FormerPosition(); lost > 0 {
 		m.FormerEpoch, m.FormerRevision = former.Epoch, former.Revision
 	}
 	m.ContactMS = g.contactAge(now)
--- a/bronzerecord/recollection.go
+++ b/bronzerecord/recollection.go
@@ -55,9 +55,9 @@
 // maxStates is how many states of a record are kept.
 const maxStates = 8
 
-// Former returns up to where this copy knows earlier epochs of the store, and how
+// FormerPosition returns up to where this copy knows earlier epochs of the store, and how
 // many records it remembers from them.
-func (s *Set) Former() (former Position, lost int) {
+func (s *Set) FormerPosition() (former Position, lost int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire(time.Now())
--- a/bronzerecord/recollection_test.go
+++ b/bronzerecord/recollection_test.go
@@ -43,15 +43,15 @@
 		require.Equal(t, []bool{true, false, true}, []bool{lost[0].Absent, lost[1].Absent, lost[2].Absent})
 
 		require.True(t, s.Apply(Delta{Epoch: 1, From: 2, To: 3, Changed: []Record{{Name: "written", Revision: 3}}}))
-		_, n := s.Former()
+		_, n := s.FormerPosition()
 		require.Equal(t, 2, n)
 		require.True(t, s.Apply(Delta{Epoch: 1, From: 3, To: 4, Removed: []Removal{{Name: "drained", Revision: 4}}}))
 		require.Equal(t, []string{"drained"}, (*changes)[len(*changes)-1].Removed, "its removal is news, though the copy never had it")
 		time.Sleep(RecallFor - time.Nanosecond)
-		_, n = s.Former()
+		_, n = s.FormerPosition()
 		require.Equal(t, 1, n)
 		time.Sleep(time.Nanosecond)
-		former, n := s.Former()
+		former, n := s.FormerPosition()
 		require.Zero(t, n)
 		require.Equal(t, Position{Revision: 5}, former)
 		_, ok := s.LostHistory()
@@ -78,7 +78,7 @@
 		require.True(t, ok)
 		require.True(t, started.MergeLostHistory(r))
 		require.False(t, started.MergeLostHistory(r), "it knows")
-		former, n := started.Former()
+		former, n := started.FormerPosition()
 		require.Equal(t, 2, n)
 		require.Equal(t, Position{Revision: 5}, former)
 
@@ -87,7 +87,7 @@
 		require.False(t, later.MergeLostHistory(r), "it is of another epoch")
 
 		time.Sleep(RecallFor / 2)
-		_, n = started.Former()
+		_, n = started.FormerPosition()
 		require.Zero(t, n, "what is told later isn't remembered longer")
 	})
 }
