--- a/bronzeedge/recall.go
+++ b/bronzeedge/recall.go
@@ -20,7 +20,7 @@
 // is back is obeyed: that costs distance, and to ignore one that the operator has just asked
 // for would send callers to servers that are about to end.
 func (e *Edge) recall(l *bronzerecord.LostRecord, now time.Time) (changed bool) {
-	until := now.Add(bronzerecord.RecallFor - l.Age)
+	until := now.Add(bronzerecord.LostRetention - l.Age)
 	if e.seams.Decoder.IsTable(l.Record.Name) {
 		return !l.Removed && e.takeTable(l.Record, l.Epoch, now)
 	}
--- a/bronzeedge/recall_test.go
+++ b/bronzeedge/recall_test.go
@@ -455,7 +455,7 @@
 		d.check(t)
 	}
 	d.settle()
-	d.pass(bronzerecord.RecallFor)
+	d.pass(bronzerecord.LostRetention)
 	d.pass(time.Second)
 	d.check(t)
 	d.agree(t)
--- a/bronzerecord/fuzz_test.go
+++ b/bronzerecord/fuzz_test.go
@@ -45,7 +45,7 @@
 		r, _ := s.LostHistory()
 		for i := range r.Lost {
 			require.GreaterOrEqual(t, r.Lost[i].Age.Nanoseconds(), int64(0))
-			require.Less(t, r.Lost[i].Age, RecallFor)
+			require.Less(t, r.Lost[i].Age, LostRetention)
 		}
 		var peer Set
 		if d, ok := s.Since(peer.Position()); ok {
--- a/bronzerecord/recollection.go
+++ b/bronzerecord/recollection.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// RecallFor is how long what a store lost is remembered after it came back from a
+// LostRetention is how long what a store lost is remembered after it came back from a
 // copy. Whoever wrote it writes it again within seconds, or not at all.
-const RecallFor = 10 * time.Second
+const LostRetention = 10 * time.Second
 
 // LostRecord is the last that was known of a record in an earlier epoch of the store,
 // which the copy doesn't have.
@@ -115,7 +115,7 @@
 	for _, l := range r.Lost {
 		l.Age = max(l.Age, 0)
 		l.at = now.Add(-l.Age)
-		if l.Age >= RecallFor || s.writtenAgain(&l) || !s.remember(l) {
+		if l.Age >= LostRetention || s.writtenAgain(&l) || !s.remember(l) {
 			continue
 		}
 		l.Absent = s.lacks(&l)
@@ -167,7 +167,7 @@
 // expire drops what nobody has written again.
 func (s *Set) expire(now time.Time) {
 	for name, states := range s.memory.lost {
-		s.keep(name, slices.DeleteFunc(states, func(l LostRecord) bool { return now.Sub(l.at) >= RecallFor }))
+		s.keep(name, slices.DeleteFunc(states, func(l LostRecord) bool { return now.Sub(l.at) >= LostRetention }))
 	}
 }
 
--- a/bronzerecord/recollection_test.go
+++ b/bronzerecord/recollection_test.go
@@ -47,7 +47,7 @@
 		require.Equal(t, 2, n)
 		require.True(t, s.Apply(Delta{Epoch: 1, From: 3, To: 4, Removed: []Removal{{Name: "drained", Revision: 4}}}))
 		require.Equal(t, []string{"drained"}, (*changes)[len(*changes)-1].Removed, "its removal is news, though the copy never had it")
-		time.Sleep(RecallFor - time.Nanosecond)
+		time.Sleep(LostRetention - time.Nanosecond)
 		_, n = s.FormerPosition()
 		require.Equal(t, 1, n)
 		time.Sleep(time.Nanosecond)
@@ -63,7 +63,7 @@
 func TestNodeThatStartsIsToldWhatWasLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := fallBack(t)
-		time.Sleep(RecallFor / 2)
+		time.Sleep(LostRetention / 2)
 		var whole Set
 		d, ok := s.Since(Position{})
 		require.True(t, ok)
@@ -86,7 +86,7 @@
 		require.True(t, later.Apply(Delta{Epoch: 2, Whole: true, To: 3}))
 		require.False(t, later.MergeLostHistory(r), "it is of another epoch")
 
-		time.Sleep(RecallFor / 2)
+		time.Sleep(LostRetention / 2)
 		_, n = started.FormerPosition()
 		require.Zero(t, n, "what is told later isn't remembered longer")
 	})
@@ -97,7 +97,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := fallBack(t)
 		for epoch := uint64(2); epoch < 40; epoch++ {
-			time.Sleep(RecallFor - time.Nanosecond)
+			time.Sleep(LostRetention - time.Nanosecond)
 			require.True(t, s.Apply(Delta{Epoch: epoch, Whole: true, To: 9, Changed: []Record{{Name: "written", Revision: 9, Body: []byte{byte(epoch)}}}}))
 		}
 		r, ok := s.LostHistory()
