--- a/bronzerecord/follower.go
+++ b/bronzerecord/follower.go
@@ -70,10 +70,10 @@
 	// four seconds that it has after an outage.
 	minBackoff = 40 * time.Millisecond
 	maxBackoff = 600 * time.Millisecond
-	// DefaultGather is the pause after an answer with news, in which further
+	// DefaultBatchDelay is the pause after an answer with news, in which further
 	// changes gather for the next: a rolling replacement changes the store
 	// several times a second, and each answer is a call that is paid for.
-	DefaultGather = 700 * time.Millisecond
+	DefaultBatchDelay = 700 * time.Millisecond
 	// emptyInterval is how often an empty store is read.
 	emptyInterval = 100 * time.Millisecond
 	// standbyInterval is how often a follower that isn't active looks whether
@@ -189,7 +189,7 @@
 	if f.Gather != 0 {
 		return f.Gather
 	}
-	return DefaultGather
+	return DefaultBatchDelay
 }
 
 func (f *Follower) event(e Event) {
