--- a/bronzerecord/follower.go
+++ b/bronzerecord/follower.go
@@ -86,8 +86,8 @@
 type Follower struct {
 	Source Source
 	Set    *Set
-	// Gather is the pause after an answer with news, DefaultGather if 0.
-	Gather time.Duration
+	// BatchDelay is the pause after an answer with news, DefaultGather if 0.
+	BatchDelay time.Duration
 	// Active says whether this node is one of those that read the store; nil
 	// means always. The others get the records from their peers.
 	Active func() bool
@@ -186,8 +186,8 @@
 	if whole || len(d.Changed)+len(d.Removed) == 0 {
 		return 0
 	}
-	if f.Gather != 0 {
-		return f.Gather
+	if f.BatchDelay != 0 {
+		return f.BatchDelay
 	}
 	return DefaultBatchDelay
 }
--- a/bronzerecord/follower_test.go
+++ b/bronzerecord/follower_test.go
@@ -245,7 +245,7 @@
 			f := newPagedStore(rapid.IntRange(0, 25).Draw(r, "Records"))
 			f.latency = 4 * time.Millisecond
 			var s Set
-			stop := follow(t, &Follower{Source: f.source(), Set: &s, Gather: time.Millisecond})
+			stop := follow(t, &Follower{Source: f.source(), Set: &s, BatchDelay: time.Millisecond})
 			for range rapid.IntRange(1, 40).Draw(r, "Steps") {
 				time.Sleep(time.Duration(rapid.IntRange(0, 40).Draw(r, "Milliseconds")) * time.Millisecond)
 				f.do(func() {
