--- a/bronzeconf/reader.go
+++ b/bronzeconf/reader.go
@@ -71,7 +71,7 @@
 
 // Run reads until ctx is done and returns the cause.
 func (r *Reader) Run(ctx context.Context) error {
-	r.backoff = bronzeretry.Backoff{Min: minBackoff, Most: maxBackoff}
+	r.backoff = bronzeretry.Backoff{Min: minBackoff, Max: maxBackoff}
 	// The context ends the pool, which has no worker left while it is idle.
 	pool := pond.NewPool(readers, pond.WithContext(ctx))
 	for ctx.Err() == nil {
--- a/bronzerecord/load.go
+++ b/bronzerecord/load.go
@@ -88,7 +88,7 @@
 
 // pause returns how long to wait after a failure.
 func (f *Follower) pause(backoff *bronzeretry.Backoff, err error) time.Duration {
-	backoff.Min, backoff.Most = minBackoff, maxBackoff
+	backoff.Min, backoff.Max = minBackoff, maxBackoff
 	pause := backoff.Next()
 	if errors.Is(err, ErrThrottled) && f.Yield != nil && f.Yield() {
 		return yieldFor/2 + rand.N(yieldFor)
--- a/bronzeretry/backoff.go
+++ b/bronzeretry/backoff.go
@@ -17,8 +17,8 @@
 
 // Backoff gives pauses that grow with each failure in a row.
 type Backoff struct {
-	// Min is the bound of the first pause, Most that of all.
-	Min, Most time.Duration
+	// Min is the bound of the first pause, Max that of all.
+	Min, Max time.Duration
 
 	bound time.Duration
 }
@@ -26,7 +26,7 @@
 // Next returns the pause after a failure: half of its bound, and as much again
 // at random, so that nodes don't come back all at once. The bound doubles.
 func (b *Backoff) Next() time.Duration {
-	b.bound = min(max(2*b.bound, b.Min), b.Most)
+	b.bound = min(max(2*b.bound, b.Min), b.Max)
 	half := b.bound / 2
 	if half <= 0 {
 		return 0
--- a/bronzeretry/backoff_test.go
+++ b/bronzeretry/backoff_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestBackoffGrowsToItsBound(t *testing.T) {
-	b := Backoff{Min: 100 * time.Millisecond, Most: time.Second}
+	b := Backoff{Min: 100 * time.Millisecond, Max: time.Second}
 	for _, bound := range []time.Duration{100, 200, 400, 800, 1000, 1000} {
 		bound *= time.Millisecond
 		d := b.Next()
