--- a/bronzerecord/recollection.go
+++ b/bronzerecord/recollection.go
@@ -31,7 +31,9 @@
 }
 
 // position returns how late in the store's history the record is known.
-func (l *LostRecord) position() Position { return Position{Epoch: l.Epoch, Revision: l.Record.Revision} }
+func (l *LostRecord) position() Position {
+	return Position{Epoch: l.Epoch, Revision: l.Record.Revision}
+}
 
 // LostHistory is what is known of earlier epochs of the store and was lost, as one
 // node tells it to another.
