--- a/bronzesoak/check_test.go
+++ b/bronzesoak/check_test.go
@@ -45,7 +45,7 @@
 }
 
 // broken returns the promises that were found broken.
-func (s *soak) broken() (list []Promise) {
+func (s *soak) broken() (list []Invariant) {
 	for _, b := range s.journal.broken {
 		list = append(list, b.Promise)
 	}
@@ -74,7 +74,7 @@
 	s, n, servers := newChecked(t)
 	servers[0].take(n, opening(archiveRoute))
 	servers[0].take(n, opening(netip.MustParseAddrPort("198.18.0.9:443")))
-	require.Equal(t, []Promise{Misrouted, Misrouted}, s.broken())
+	require.Equal(t, []Invariant{Misrouted, Misrouted}, s.broken())
 }
 
 func TestAlteredPacket(t *testing.T) {
@@ -83,7 +83,7 @@
 	guarded := append(binary.BigEndian.AppendUint64(nil, servers[0].number), b...)
 	guarded[8+4]++ // the sequence number
 	servers[0].receive("node-0", guarded)
-	require.Equal(t, []Promise{Altered}, s.broken())
+	require.Equal(t, []Invariant{Altered}, s.broken())
 	guarded[8+4]--
 	guarded[8]++ // the token, which nodes write
 	servers[0].receive("node-0", guarded)
@@ -114,7 +114,7 @@
 		time.Sleep(settled)
 		n.disturb(0, true)
 		s.judgeReset(f, &reset)
-		require.Equal(t, []Promise{BrokenFlow}, s.broken(), "planned work is no excuse")
+		require.Equal(t, []Invariant{BrokenFlow}, s.broken(), "planned work is no excuse")
 
 		s.ledger.remove(liveRoute, time.Now())
 		s.judgeReset(f, &reset)
@@ -133,7 +133,7 @@
 		}
 		require.Empty(t, s.broken())
 		servers[1].take(n, stray)
-		require.Equal(t, []Promise{Strayed}, s.broken())
+		require.Equal(t, []Invariant{Strayed}, s.broken())
 		servers[0].take(n, data(servers[0], liveRoute, nil))
 		servers[1].take(n, stray)
 		require.Len(t, s.broken(), 1)
@@ -148,7 +148,7 @@
 		server.take(n, data(server, liveRoute, request))
 		require.Len(t, s.broken(), i)
 	}
-	require.Equal(t, []Promise{RanTwice}, s.broken())
+	require.Equal(t, []Invariant{RanTwice}, s.broken())
 }
 
 // New flows on a draining server, or by a withdrawn route, count from three
@@ -161,11 +161,11 @@
 		require.Empty(t, s.broken())
 		time.Sleep(published + copies + time.Millisecond)
 		servers[0].take(n, opening(liveRoute))
-		require.Equal(t, []Promise{NewOnDraining}, s.broken())
+		require.Equal(t, []Invariant{NewOnDraining}, s.broken())
 		s.ledger.remove(liveRoute, time.Now())
 		time.Sleep(published + copies + time.Millisecond)
 		servers[1].take(n, opening(liveRoute))
-		require.Equal(t, []Promise{NewOnDraining, OldTable}, s.broken())
+		require.Equal(t, []Invariant{NewOnDraining, OldTable}, s.broken())
 		n.disturb(0, false)
 		servers[1].take(n, opening(liveRoute))
 		require.Len(t, s.broken(), 2)
@@ -182,7 +182,7 @@
 		require.Empty(t, s.broken())
 		time.Sleep(published + copies + time.Millisecond)
 		servers[0].take(n, opening(liveRoute))
-		require.Equal(t, []Promise{NewInDrainedZone}, s.broken())
+		require.Equal(t, []Invariant{NewInDrainedZone}, s.broken())
 		s.drained.end()
 		servers[0].take(n, opening(liveRoute))
 		require.Len(t, s.broken(), 1)
--- a/bronzesoak/promise.go
+++ b/bronzesoak/promise.go
@@ -6,47 +6,47 @@
 	"time"
 )
 
-// Promise is something that callers or servers are promised.
-type Promise string
+// Invariant is something that callers or servers are promised.
+type Invariant string
 
 // The promises.
 const (
 	// Misrouted: a server got a packet for an endpoint whose routes never named
 	// its pool.
-	Misrouted Promise = "Misrouted"
+	Misrouted Invariant = "Misrouted"
 	// Altered: an end got a packet that the other end had not written so.
-	Altered Promise = "Altered"
+	Altered Invariant = "Altered"
 	// BrokenFlow: the caller of an open flow was told its end by a node, though
 	// its server was there.
-	BrokenFlow Promise = "BrokenFlow"
+	BrokenFlow Invariant = "BrokenFlow"
 	// Strayed: packets of an open flow went to other servers for two seconds, and
 	// none to its own.
-	Strayed Promise = "Strayed"
+	Strayed Invariant = "Strayed"
 	// RanTwice: a request that must not be repeated ran twice.
-	RanTwice Promise = "RanTwice"
+	RanTwice Invariant = "RanTwice"
 	// NewOnDraining: a server got a new flow three seconds after it said that it
 	// drains.
-	NewOnDraining Promise = "NewOnDraining"
+	NewOnDraining Invariant = "NewOnDraining"
 	// NewInDrainedZone: a server got a new flow three seconds after its zone was drained.
-	NewInDrainedZone Promise = "NewInDrainedZone"
+	NewInDrainedZone Invariant = "NewInDrainedZone"
 	// OldTable: a node went by an older table three seconds after a newer one.
-	OldTable Promise = "OldTable"
+	OldTable Invariant = "OldTable"
 	// WentBack: a node went by an older table after it had used a newer one.
-	WentBack Promise = "WentBack"
+	WentBack Invariant = "WentBack"
 	// ReadyAgain: a node that leaves was ready again.
-	ReadyAgain Promise = "ReadyAgain"
+	ReadyAgain Invariant = "ReadyAgain"
 	// LeftLate: a node that was told to end took longer than its grace.
-	LeftLate Promise = "LeftLate"
+	LeftLate Invariant = "LeftLate"
 	// Exited: a node ended by itself.
-	Exited Promise = "Exited"
+	Exited Invariant = "Exited"
 	// Unserved: of the requests at the end, when all has been well for seconds,
 	// fewer than nine tenths were served.
-	Unserved Promise = "Unserved"
+	Unserved Invariant = "Unserved"
 )
 
 // Broken is a promise that did not hold.
 type Broken struct {
-	Promise Promise
+	Promise Invariant
 	// AtMS is when, from the start of traffic.
 	AtMS int64
 	What string
@@ -68,7 +68,7 @@
 	total  int
 }
 
-func (j *journal) add(p Promise, format string, args ...any) {
+func (j *journal) add(p Invariant, format string, args ...any) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.total++
