--- a/bronzesoak/promise.go
+++ b/bronzesoak/promise.go
@@ -44,8 +44,8 @@
 	Unserved Invariant = "Unserved"
 )
 
-// Broken is a promise that did not hold.
-type Broken struct {
+// Violation is a promise that did not hold.
+type Violation struct {
 	Promise Invariant
 	// AtMS is when, from the start of traffic.
 	AtMS int64
@@ -53,7 +53,7 @@
 }
 
 // String returns it as one line.
-func (b Broken) String() string {
+func (b Violation) String() string {
 	return fmt.Sprintf("%.3f s %s: %s", float64(b.AtMS)/1000, b.Promise, b.What)
 }
 
@@ -64,7 +64,7 @@
 type journal struct {
 	mu     sync.Mutex
 	begun  time.Time
-	broken []Broken
+	broken []Violation
 	total  int
 }
 
@@ -73,7 +73,7 @@
 	defer j.mu.Unlock()
 	j.total++
 	if len(j.broken) < maxBroken {
-		j.broken = append(j.broken, Broken{Promise: p, AtMS: time.Since(j.begun).Milliseconds(), What: fmt.Sprintf(format, args...)})
+		j.broken = append(j.broken, Violation{Promise: p, AtMS: time.Since(j.begun).Milliseconds(), What: fmt.Sprintf(format, args...)})
 	}
 }
 
--- a/bronzesoak/run.go
+++ b/bronzesoak/run.go
@@ -45,7 +45,7 @@
 	// Stalls is how often the machine was too busy for what it was to do.
 	Stalls int64
 	// Broken are the first promises that did not hold, BrokenTotal all.
-	Broken      []Broken
+	Broken      []Violation
 	BrokenTotal int
 	Seconds     []Second
 }
