--- a/bronzesoak/network.go
+++ b/bronzesoak/network.go
@@ -18,11 +18,11 @@
 	random func() float64
 
 	mu    sync.Mutex
-	cut   map[string]int    // zones that are cut off, by how many events
-	lossy map[string]int    // zones whose packets to others get lost
-	peers map[string]int    // nodes that are cut off from other nodes
-	store map[string][]Mode // how each node's connections to the store fail
-	down  []Mode            // how everybody's do
+	cut   map[string]int           // zones that are cut off, by how many events
+	lossy map[string]int           // zones whose packets to others get lost
+	peers map[string]int           // nodes that are cut off from other nodes
+	store map[string][]FailureMode // how each node's connections to the store fail
+	down  []FailureMode            // how everybody's do
 	nodes map[netip.Addr]string
 	zones map[string]string // of the nodes
 	wake  chan struct{}     // closed when something changes
@@ -34,7 +34,7 @@
 func newNetwork() *network {
 	return &network{
 		random: rand.Float64,
-		cut:    map[string]int{}, lossy: map[string]int{}, peers: map[string]int{}, store: map[string][]Mode{},
+		cut:    map[string]int{}, lossy: map[string]int{}, peers: map[string]int{}, store: map[string][]FailureMode{},
 		nodes: map[netip.Addr]string{}, zones: map[string]string{}, wake: make(chan struct{}), silenced: map[string]int{},
 	}
 }
@@ -94,14 +94,14 @@
 
 // modeOf returns how a node's connections to the store fail now, "" if they
 // don't, and how often they went silent.
-func (n *network) modeOf(node string) (mode Mode, silenced int, changed <-chan struct{}) {
+func (n *network) modeOf(node string) (mode FailureMode, silenced int, changed <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.mode(node), n.silenced[node], n.wake
 }
 
 // mode does the same; the caller holds the lock.
-func (n *network) mode(node string) Mode {
+func (n *network) mode(node string) FailureMode {
 	switch {
 	case n.cut[n.zones[node]] > 0:
 		return Silent
--- a/bronzesoak/network_test.go
+++ b/bronzesoak/network_test.go
@@ -60,7 +60,7 @@
 	return l
 }
 
-func (l *link) set(modes ...Mode) {
+func (l *link) set(modes ...FailureMode) {
 	l.network.change(func() { l.network.store["node-0"] = modes })
 }
 
--- a/bronzesoak/plan.go
+++ b/bronzesoak/plan.go
@@ -67,24 +67,24 @@
 
 var kinds = append(slices.Clone(drawn), RestoreStore, DrainZone)
 
-// Mode is how a connection to the store fails.
-type Mode string
+// FailureMode is how a connection to the store fails.
+type FailureMode string
 
 // The modes.
 const (
 	// Silent: open connections carry nothing more, new ones don't open.
-	Silent Mode = "Silent"
+	Silent FailureMode = "Silent"
 	// Reset: all connections are reset.
-	Reset Mode = "Reset"
+	Reset FailureMode = "Reset"
 	// Slow: each answer takes longer.
-	Slow Mode = "Slow"
+	Slow FailureMode = "Slow"
 	// AnswersLost: requests arrive, their answers don't.
-	AnswersLost Mode = "AnswersLost"
+	AnswersLost FailureMode = "AnswersLost"
 	// Refused: the store answers with an error.
-	Refused Mode = "Refused"
+	Refused FailureMode = "Refused"
 )
 
-var modes = []Mode{Silent, Reset, Slow, AnswersLost, Refused}
+var modes = []FailureMode{Silent, Reset, Slow, AnswersLost, Refused}
 
 // Event is something that is done to the deployment.
 type Event struct {
@@ -94,8 +94,8 @@
 	ForMS int `json:",omitempty"`
 	Kind  Kind
 	// Target is the index of the node, zone or server.
-	Target int  `json:",omitempty"`
-	Mode   Mode `json:",omitempty"`
+	Target int         `json:",omitempty"`
+	Mode   FailureMode `json:",omitempty"`
 }
 
 func (e *Event) at() time.Duration    { return time.Duration(e.AtMS) * time.Millisecond }
