--- a/bronzesoak/check_test.go
+++ b/bronzesoak/check_test.go
@@ -193,8 +193,8 @@
 	for _, served := range []int{89, 90} {
 		s, _, _ := newChecked(t)
 		s.plan.Seconds = 10
-		s.counts.seconds = make([]Second, 10)
-		s.counts.seconds[8] = Second{Served: served, Failed: 100 - served}
+		s.counts.seconds = make([]SecondStats, 10)
+		s.counts.seconds[8] = SecondStats{Served: served, Failed: 100 - served}
 		r := s.result()
 		require.Equal(t, served < 90, r.BrokenTotal == 1)
 	}
--- a/bronzesoak/counts.go
+++ b/bronzesoak/counts.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Second is what became of the requests that callers began in one second.
-type Second struct {
+// SecondStats is what became of the requests that callers began in one second.
+type SecondStats struct {
 	Served   int
 	Failed   int
 	Rejected int
@@ -17,13 +17,13 @@
 	took []time.Duration
 }
 
-func (s *Second) total() int { return s.Served + s.Failed + s.Rejected }
+func (s *SecondStats) total() int { return s.Served + s.Failed + s.Rejected }
 
 // counts counts requests by the second in which they began.
 type counts struct {
 	mu      sync.Mutex
 	begun   time.Time
-	seconds []Second
+	seconds []SecondStats
 }
 
 func (c *counts) add(at time.Time, took time.Duration, o outcome) {
@@ -34,7 +34,7 @@
 		return
 	}
 	for len(c.seconds) <= i {
-		c.seconds = append(c.seconds, Second{})
+		c.seconds = append(c.seconds, SecondStats{})
 	}
 	s := &c.seconds[i]
 	switch o {
@@ -51,7 +51,7 @@
 // worst is the percentile of times that is reported.
 const worst = 0.99
 
-func (c *counts) list() []Second {
+func (c *counts) list() []SecondStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := slices.Clone(c.seconds)
@@ -66,7 +66,7 @@
 }
 
 // sum adds seconds up.
-func sum(seconds []Second) (total Second) {
+func sum(seconds []SecondStats) (total SecondStats) {
 	for i := range seconds {
 		total.Served += seconds[i].Served
 		total.Failed += seconds[i].Failed
--- a/bronzesoak/run.go
+++ b/bronzesoak/run.go
@@ -47,7 +47,7 @@
 	// Broken are the first promises that did not hold, BrokenTotal all.
 	Broken      []Violation
 	BrokenTotal int
-	Seconds     []Second
+	Seconds     []SecondStats
 }
 
 func (p *Plan) length() time.Duration { return time.Duration(p.Seconds * float64(time.Second)) }
