--- a/bronzeedge/config.go
+++ b/bronzeedge/config.go
@@ -144,8 +144,8 @@
 	return time.Duration(n * float64(time.Second))
 }
 
-// Seams are what the daemon speaks to the outside by.
-type Seams struct {
+// Adapter are what the daemon speaks to the outside by.
+type Adapter struct {
 	Wire Wire
 	// Source returns what the store is read by; count is called with the kind of
 	// each call and how it went.
--- a/bronzeedge/edge.go
+++ b/bronzeedge/edge.go
@@ -30,7 +30,7 @@
 // Edge is the daemon of one entry VM. New makes one; Run runs it once.
 type Edge struct {
 	cfg      Config
-	seams    Seams
+	seams    Adapter
 	log      *Log
 	counts   *counters
 	started  time.Time
@@ -68,7 +68,7 @@
 }
 
 // New opens the addresses of cfg.
-func New(cfg Config, seams Seams, log *Log) (e *Edge, err error) {
+func New(cfg Config, seams Adapter, log *Log) (e *Edge, err error) {
 	defer func() { err = errors.Wrap(err, "make an edge") }()
 	if err = cfg.Check(); err != nil {
 		return nil, err
--- a/bronzeedge/export_test.go
+++ b/bronzeedge/export_test.go
@@ -9,13 +9,13 @@
 
 // TakeAll has a node that has just started take in all records, and its log write what
 // there is.
-func TakeAll(seams Seams, d bronzerecord.Delta, out io.Writer) {
+func TakeAll(seams Adapter, d bronzerecord.Delta, out io.Writer) {
 	e := newTaker(seams, out)
 	e.records.Apply(d)
 	e.log.Close()
 }
 
-func newTaker(seams Seams, out io.Writer) *Edge {
+func newTaker(seams Adapter, out io.Writer) *Edge {
 	e := &Edge{seams: seams, log: NewLog(out), started: time.Now(), known: make(chan struct{}), counts: newCounters()}
 	e.records.OnChange = e.onRecords
 	return e
@@ -23,7 +23,7 @@
 
 // TakeRestored has a node that has all records take in those of a store that came back from a
 // copy, and calls timed around that. It returns what a peer would get of it, compressed.
-func TakeRestored(seams Seams, d, restored bronzerecord.Delta, timed func(take func())) (sent []byte, err error) {
+func TakeRestored(seams Adapter, d, restored bronzerecord.Delta, timed func(take func())) (sent []byte, err error) {
 	e := newTaker(seams, io.Discard)
 	defer e.log.Close()
 	e.records.Apply(d)
