--- a/bronzeedge/edge.go
+++ b/bronzeedge/edge.go
@@ -122,7 +122,7 @@
 	}
 	l, err := net.Listen("tcp", e.cfg.MetricsAddress.String())
 	if err != nil {
-		e.log.Line("MetricsNotServed", F{"Address": e.cfg.MetricsAddress.String(), "Error": err.Error()})
+		e.log.Line("MetricsNotServed", Fields{"Address": e.cfg.MetricsAddress.String(), "Error": err.Error()})
 		return
 	}
 	e.metrics = l
@@ -170,7 +170,7 @@
 	defer func() { err = errors.Wrap(err, "run "+e.cfg.Name) }()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	e.log.Line("Started", F{"Name": e.cfg.Name, "AvailabilityZone": e.cfg.AvailabilityZone})
+	e.log.Line("Started", Fields{"Name": e.cfg.Name, "AvailabilityZone": e.cfg.AvailabilityZone})
 	pool := pond.NewPool(0, pond.WithoutPanicRecovery())
 	pool.Submit(func() { _ = e.follower.Run(ctx) })
 	// The store's answer is on its way while the rest is set up: 5 ms sooner on a
@@ -192,7 +192,7 @@
 	}
 	e.closeAddresses()
 	pool.StopAndWait()
-	e.log.Line("Stopped", F{"Name": e.cfg.Name})
+	e.log.Line("Stopped", Fields{"Name": e.cfg.Name})
 	return nil
 }
 
@@ -216,7 +216,7 @@
 // come, or its grace is over.
 func (e *Edge) Leave() {
 	e.leaveOnce.Do(func() {
-		e.log.Line("Leaving", F{"Name": e.cfg.Name})
+		e.log.Line("Leaving", Fields{"Name": e.cfg.Name})
 		close(e.leaving)
 		e.gossip.Leave(time.Now())
 	})
@@ -227,14 +227,14 @@
 // ones in force.
 func (e *Edge) Reload(cfg Config, err error) {
 	if err != nil {
-		e.log.Line("SettingsRefused", F{"Error": err.Error()})
+		e.log.Line("SettingsRefused", Fields{"Error": err.Error()})
 		return
 	}
 	e.cfgMu.Lock()
 	e.grace = cfg.grace()
 	e.cfgMu.Unlock()
 	e.gossip.SetSeeds(e.peerAddresses(cfg.Seeds))
-	e.log.Line("SettingsInForce", F{"Seeds": cfg.Seeds, "GraceSeconds": cfg.GraceSeconds, "NextStart": e.cfg.differs(&cfg)})
+	e.log.Line("SettingsInForce", Fields{"Seeds": cfg.Seeds, "GraceSeconds": cfg.GraceSeconds, "NextStart": e.cfg.differs(&cfg)})
 }
 
 const (
--- a/bronzeedge/knowledge.go
+++ b/bronzeedge/knowledge.go
@@ -25,7 +25,7 @@
 		changed = e.takeRecord(r, c.Position.Epoch, first, now) || changed
 	}
 	if first {
-		e.log.Line("RegisteredAll", F{"Records": len(c.Changed), "Epoch": c.Position.Epoch, "Revision": c.Position.Revision})
+		e.log.Line("RegisteredAll", Fields{"Records": len(c.Changed), "Epoch": c.Position.Epoch, "Revision": c.Position.Revision})
 	}
 	lost := lostNames(c.Lost)
 	for _, name := range c.Removed {
@@ -51,7 +51,7 @@
 		return false
 	}
 	e.book.directory.Unregister(instance, now)
-	e.log.Line("Unregistered", F{"Instance": instance, "Epoch": at.Epoch, "Revision": at.Revision})
+	e.log.Line("Unregistered", Fields{"Instance": instance, "Epoch": at.Epoch, "Revision": at.Revision})
 	return true
 }
 
@@ -93,7 +93,7 @@
 	if first && taken {
 		return true
 	}
-	fields := F{
+	fields := Fields{
 		"Instance": s.Instance, "Pool": s.Pool, "Address": s.Address.String(), "AvailabilityZone": s.AvailabilityZone,
 		"Draining": s.Draining, "ColdMS": s.Cold.Milliseconds(), "Epoch": epoch, "Revision": r.Revision,
 	}
@@ -117,7 +117,7 @@
 	if !e.book.directory.SetTable(t, now) {
 		return false
 	}
-	e.log.Line("TableInForce", F{
+	e.log.Line("TableInForce", Fields{
 		"Version": t.Version, "Routes": len(t.Routes), "Refused": t.Refusals, "Epoch": epoch, "Revision": r.Revision,
 	})
 	return true
@@ -125,7 +125,7 @@
 
 // refuse logs a record with faults.
 func (e *Edge) refuse(r bronzerecord.Record, epoch uint64, err error) {
-	e.log.Line("RecordRefused", F{"Record": r.Name, "Epoch": epoch, "Revision": r.Revision, "Error": err.Error()})
+	e.log.Line("RecordRefused", Fields{"Record": r.Name, "Epoch": epoch, "Revision": r.Revision, "Error": err.Error()})
 }
 
 // advance lets time pass in the directory.
@@ -147,14 +147,14 @@
 	}
 	e.steerer.SetView(v)
 	e.knownOnce.Do(func() {
-		e.log.Line("Ready", F{"AfterMS": time.Since(e.started).Milliseconds(), "Version": v.Table.Version, "Servers": len(v.Servers)})
+		e.log.Line("Ready", Fields{"AfterMS": time.Since(e.started).Milliseconds(), "Version": v.Table.Version, "Servers": len(v.Servers)})
 		close(e.known)
 	})
 }
 
 // onServerEvent logs what this node believes of a server.
 func (e *Edge) onServerEvent(ev bronzesteer.Event) {
-	e.log.Line("Server"+ev.Kind.String(), F{
+	e.log.Line("Server"+ev.Kind.String(), Fields{
 		"Instance": ev.Instance, "AvailabilityZone": ev.AvailabilityZone, "Unanswered": ev.Unanswered,
 		"SilenceMS": ev.Silence.Milliseconds(), "ForMS": ev.AvoidedFor.Milliseconds(), "Nodes": ev.Nodes,
 	})
@@ -174,12 +174,12 @@
 	switch st := &e.store; {
 	case failed && !st.lost:
 		*st = storeState{lost: true, since: now, calls: 1}
-		e.log.Line("StoreLost", F{"Epoch": ev.Position.Epoch, "Revision": ev.Position.Revision, "Error": ev.Err.Error()})
+		e.log.Line("StoreLost", Fields{"Epoch": ev.Position.Epoch, "Revision": ev.Position.Revision, "Error": ev.Err.Error()})
 	case failed:
 		st.calls++
 	case st.lost:
 		st.lost = false
-		e.log.Line("StoreRegained", F{
+		e.log.Line("StoreRegained", Fields{
 			"Epoch": ev.Position.Epoch, "Revision": ev.Position.Revision, "Kind": ev.Kind,
 			"FailedCalls": st.calls, "AwayMS": now.Sub(st.since).Milliseconds(),
 		})
@@ -208,7 +208,7 @@
 	if ev.Kind == bronzerecord.Watched && changed+removed == 0 {
 		return
 	}
-	fields := F{
+	fields := Fields{
 		"Kind": ev.Kind, "Epoch": ev.Position.Epoch, "Revision": ev.Position.Revision,
 		"Changed": changed, "Removed": removed, "TookMS": ev.Took.Milliseconds(),
 	}
--- a/bronzeedge/log.go
+++ b/bronzeedge/log.go
@@ -9,8 +9,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// F are the fields of a log line.
-type F = logrus.Fields
+// Fields are the fields of a log line.
+type Fields = logrus.Fields
 
 const (
 	// logGather is how long lines gather for one write. A line costs a system
@@ -50,7 +50,7 @@
 	at      time.Time
 	level   logrus.Level
 	message string
-	fields  F
+	fields  Fields
 }
 
 // NewLog returns a log that writes to out. Close ends it.
@@ -73,7 +73,7 @@
 
 // Line writes one line, unless there are too many. The caller must not change
 // fields any more.
-func (l *Log) Line(message string, fields F) {
+func (l *Log) Line(message string, fields Fields) {
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -98,12 +98,12 @@
 	if len(l.leftOut) == 0 || len(l.pending) >= logPending {
 		return
 	}
-	fields := make(F, len(l.leftOut))
+	fields := make(Fields, len(l.leftOut))
 	for message, n := range l.leftOut {
 		fields[message] = n
 	}
 	clear(l.leftOut)
-	l.pending = append(l.pending, line{at: now, level: logrus.WarnLevel, message: "LeftOut", fields: F{"Lines": fields}})
+	l.pending = append(l.pending, line{at: now, level: logrus.WarnLevel, message: "LeftOut", fields: Fields{"Lines": fields}})
 }
 
 func (l *Log) signal() {
--- a/bronzeedge/log_test.go
+++ b/bronzeedge/log_test.go
@@ -20,7 +20,7 @@
 		begun := time.Now()
 		for range 100 {
 			for range logPerSecond {
-				l.Line("Flow", F{"Reason": strings.Repeat("x", 50)})
+				l.Line("Flow", Fields{"Reason": strings.Repeat("x", 50)})
 			}
 			time.Sleep(time.Second)
 		}
--- a/bronzeedge/packets.go
+++ b/bronzeedge/packets.go
@@ -62,7 +62,7 @@
 			continue
 		}
 		if err != nil {
-			e.log.Line("ReadFailed", F{"Error": err.Error()})
+			e.log.Line("ReadFailed", Fields{"Error": err.Error()})
 			continue
 		}
 		if e.dropOldPackets(n) {
@@ -135,7 +135,7 @@
 	w.reset(&ending.Packet)
 	d := bronzesteer.Decision{Kind: bronzesteer.End, Reason: ending.Reason}
 	w.edge.counts.decision(&d)
-	w.edge.log.Line("Ended", F{
+	w.edge.log.Line("Ended", Fields{
 		"Caller": ending.Packet.Key.CallerAddrPort().String(), "Service": ending.Packet.Key.ServiceAddrPort().String(),
 		"Server": ending.Instance, "Reason": ending.Reason.String(),
 	})
@@ -148,7 +148,7 @@
 	if d.Reason == bronzesteer.Steered || d.Reason == bronzesteer.NoView {
 		return
 	}
-	fields := F{
+	fields := Fields{
 		"Caller": p.Key.CallerAddrPort().String(), "Service": p.Key.ServiceAddrPort().String(),
 		"Decision": d.Kind.String(), "Reason": d.Reason.String(), "Open": p.Open, "Copy": p.Retransmits,
 		"ConfirmedMS": e.gossip.SinceConfirmed(now).Milliseconds(),
--- a/bronzeedge/pause.go
+++ b/bronzeedge/pause.go
@@ -168,7 +168,7 @@
 	e.gossip.Paused(paused, suspended, now)
 	aside := e.steerer.Paused(now)
 	e.count("Paused")
-	e.log.Line("Paused", F{
+	e.log.Line("Paused", Fields{
 		"ForMS": (paused + suspended).Milliseconds(), "SuspendedMS": suspended.Milliseconds(),
 		"Openings": aside.Openings, "Requests": aside.Requests, "Findings": aside.Findings,
 	})
@@ -192,7 +192,7 @@
 		return
 	}
 	e.steerer.RecordsConfirmed()
-	e.log.Line("ConfirmedAfterPause", F{"AfterMS": after.Milliseconds()})
+	e.log.Line("ConfirmedAfterPause", Fields{"AfterMS": after.Milliseconds()})
 }
 
 // dropOldPackets drops the callers' packets that waited in the socket during a pause, if
@@ -220,7 +220,7 @@
 }
 
 func (e *Edge) logDropped(message string, n int, err error) {
-	fields := F{"Dropped": n}
+	fields := Fields{"Dropped": n}
 	if err != nil {
 		fields["Error"] = err.Error()
 	}
--- a/bronzeedge/peers.go
+++ b/bronzeedge/peers.go
@@ -154,7 +154,7 @@
 	reads := e.gossip.ShouldRead(now)
 	if e.reading.Swap(reads) != reads {
 		p := e.records.Position()
-		e.log.Line("ReadsStore", F{
+		e.log.Line("ReadsStore", Fields{
 			"Reads": reads, "Epoch": p.Epoch, "Revision": p.Revision, "ConfirmedMS": e.gossip.SinceConfirmed(now).Milliseconds(),
 			"Peers": e.gossip.PeerCount(now),
 		})
@@ -186,7 +186,7 @@
 }
 
 func (e *Edge) onPeer(p bronzegossip.Peer, event string) {
-	e.log.Line("Peer"+event, F{"Peer": p.Name, "AvailabilityZone": p.AvailabilityZone, "Address": p.Address.String()})
+	e.log.Line("Peer"+event, Fields{"Peer": p.Name, "AvailabilityZone": p.AvailabilityZone, "Address": p.Address.String()})
 }
 
 // sendPeer sends a message, unless the node stood still since it was put together: it says
@@ -235,7 +235,7 @@
 		defer e.fetching.Store(false)
 		begun := time.Now()
 		d, err := e.fetchRecords(peer.Records, since)
-		fields := F{
+		fields := Fields{
 			"Peer": peer.Name, "FromEpoch": since.Epoch, "From": since.Revision, "Epoch": d.Epoch, "To": d.To,
 			"Changed": len(d.Changed), "Removed": len(d.Removed), "TookMS": time.Since(begun).Milliseconds(),
 		}
@@ -258,7 +258,7 @@
 		defer e.fetching.Store(false)
 		var r bronzerecord.LostHistory
 		err := e.get(peer.Records, formerPath, nil, &r)
-		fields := F{
+		fields := Fields{
 			"Peer": peer.Name, "Epoch": r.Epoch, "FormerEpoch": r.Former.Epoch, "FormerRevision": r.Former.Revision,
 			"Lost": len(r.Lost),
 		}
--- a/bronzeedge/recall.go
+++ b/bronzeedge/recall.go
@@ -39,12 +39,12 @@
 		return false
 	}
 	e.count("ZoneDrained")
-	e.log.Line("ZoneRecalled", F{"AvailabilityZone": zone, "Epoch": l.Epoch, "Revision": l.Record.Revision, "Until": until.UTC()})
+	e.log.Line("ZoneRecalled", Fields{"AvailabilityZone": zone, "Epoch": l.Epoch, "Revision": l.Record.Revision, "Until": until.UTC()})
 	return true
 }
 
 func (e *Edge) recallServer(instance string, l *bronzerecord.LostRecord, now, until time.Time) (changed bool) {
-	fields := F{
+	fields := Fields{
 		"Instance": instance, "Removed": l.Removed, "Absent": l.Absent, "Epoch": l.Epoch, "Revision": l.Record.Revision,
 		"Until": until.UTC(),
 	}
--- a/bronzeedge/zones.go
+++ b/bronzeedge/zones.go
@@ -18,7 +18,7 @@
 	}
 	_, known := e.cfg.Regions[zone]
 	e.count("ZoneDrained")
-	e.log.Line("ZoneDrained", F{"AvailabilityZone": zone, "Known": known, "Epoch": epoch, "Revision": r.Revision})
+	e.log.Line("ZoneDrained", Fields{"AvailabilityZone": zone, "Known": known, "Epoch": epoch, "Revision": r.Revision})
 	return true
 }
 
@@ -28,6 +28,6 @@
 		return false
 	}
 	e.count("ZoneReturned")
-	e.log.Line("ZoneReturned", F{"AvailabilityZone": zone, "Epoch": at.Epoch, "Revision": at.Revision})
+	e.log.Line("ZoneReturned", Fields{"AvailabilityZone": zone, "Epoch": at.Epoch, "Revision": at.Revision})
 	return true
 }
