--- a/bronzeedge/export_test.go
+++ b/bronzeedge/export_test.go
@@ -7,9 +7,9 @@
 	"bronzeusher.example/bronzeusher/bronzerecord"
 )
 
-// TakeAll has a node that has just started take in all records, and its log write what
+// ApplyAll has a node that has just started take in all records, and its log write what
 // there is.
-func TakeAll(seams Adapter, d bronzerecord.Delta, out io.Writer) {
+func ApplyAll(seams Adapter, d bronzerecord.Delta, out io.Writer) {
 	e := newTaker(seams, out)
 	e.records.Apply(d)
 	e.log.Close()
--- a/bronzeedge/view_bench_test.go
+++ b/bronzeedge/view_bench_test.go
@@ -49,7 +49,7 @@
 func BenchmarkFirstView(b *testing.B) {
 	d := allRecords(b, 600)
 	for b.Loop() {
-		bronzeedge.TakeAll(platform.Seams("127.0.0.1:1"), d, io.Discard)
+		bronzeedge.ApplyAll(platform.Seams("127.0.0.1:1"), d, io.Discard)
 	}
 }
 
@@ -82,7 +82,7 @@
 // lines of all servers, of which 512 wait for their writing at most, would leave that out.
 func TestLogTellsWhenANodeOfALargeFleetIsReady(t *testing.T) {
 	var out bytes.Buffer
-	bronzeedge.TakeAll(platform.Seams("127.0.0.1:1"), allRecords(t, 600), &out)
+	bronzeedge.ApplyAll(platform.Seams("127.0.0.1:1"), allRecords(t, 600), &out)
 	require.Contains(t, out.String(), `"Message":"Ready"`)
 	require.Contains(t, out.String(), `"Records":601`)
 	require.LessOrEqual(t, strings.Count(out.String(), "\n"), 5)
