--- a/bronzeedge/export_test.go
+++ b/bronzeedge/export_test.go
@@ -21,9 +21,9 @@
 	return e
 }
 
-// TakeRestored has a node that has all records take in those of a store that came back from a
+// ApplyRestored has a node that has all records take in those of a store that came back from a
 // copy, and calls timed around that. It returns what a peer would get of it, compressed.
-func TakeRestored(seams Adapter, d, restored bronzerecord.Delta, timed func(take func())) (sent []byte, err error) {
+func ApplyRestored(seams Adapter, d, restored bronzerecord.Delta, timed func(take func())) (sent []byte, err error) {
 	e := newTaker(seams, io.Discard)
 	defer e.log.Close()
 	e.records.Apply(d)
--- a/bronzeedge/view_bench_test.go
+++ b/bronzeedge/view_bench_test.go
@@ -65,7 +65,7 @@
 			}
 			for b.Loop() {
 				b.StopTimer()
-				sent, err := bronzeedge.TakeRestored(platform.Seams("127.0.0.1:1"), d, restored, func(take func()) {
+				sent, err := bronzeedge.ApplyRestored(platform.Seams("127.0.0.1:1"), d, restored, func(take func()) {
 					b.StartTimer()
 					take()
 					b.StopTimer()
