--- a/bronzeroute/directory.go
+++ b/bronzeroute/directory.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// MissingFor is how long a registration that disappeared may come back
+	// MissingTimeout is how long a registration that disappeared may come back
 	// before the server counts as gone. Registrations lost in an outage are
 	// back about two seconds after it, and new flows must keep away from a
 	// server that is gone within three.
-	MissingFor = 2300 * time.Millisecond
+	MissingTimeout = 2300 * time.Millisecond
 	// RememberFor is how long a server that is gone keeps its token and
 	// address known. No flow lives longer than a minute.
 	RememberFor = 75 * time.Second
@@ -154,7 +154,7 @@
 			d.book().remove(name)
 			d.touch(e)
 			changed = true
-		case !e.missing.IsZero() && e.gone.IsZero() && now.Sub(e.missing) > MissingFor:
+		case !e.missing.IsZero() && e.gone.IsZero() && now.Sub(e.missing) > MissingTimeout:
 			e.gone = now
 			d.touch(e)
 			changed = true
--- a/bronzeroute/directory_test.go
+++ b/bronzeroute/directory_test.go
@@ -50,7 +50,7 @@
 	d.SetTable(table(1, route(live, "a")), begin)
 	d.Register(server("s", "a"))
 	d.Unregister("s", begin)
-	d.Advance(begin.Add(MissingFor))
+	d.Advance(begin.Add(MissingTimeout))
 	require.Equal(t, Missing, d.View().ByName("s").Status)
 	require.Len(t, d.View().Pool("a"), 1, "it is still one that can be used")
 
@@ -66,7 +66,7 @@
 	d.SetTable(table(1, route(live, "a")), begin)
 	d.Register(server("s", "a"))
 	d.Unregister("s", begin)
-	require.True(t, d.Advance(begin.Add(MissingFor+1)))
+	require.True(t, d.Advance(begin.Add(MissingTimeout+1)))
 	v := d.View()
 	require.Equal(t, Gone, v.ByName("s").Status)
 	require.Empty(t, v.Pool("a"))
--- a/bronzeroute/naive_test.go
+++ b/bronzeroute/naive_test.go
@@ -35,7 +35,7 @@
 	for name, s := range n {
 		if !s.gone.IsZero() && now.Sub(s.gone) > RememberFor {
 			delete(n, name)
-		} else if s.gone.IsZero() && !s.missing.IsZero() && now.Sub(s.missing) > MissingFor {
+		} else if s.gone.IsZero() && !s.missing.IsZero() && now.Sub(s.missing) > MissingTimeout {
 			s.gone = now
 		}
 	}
--- a/bronzeroute/recall_test.go
+++ b/bronzeroute/recall_test.go
@@ -53,9 +53,9 @@
 			want = Draining
 		}
 		require.Equal(t, want, d.View().ByName("s-1").Status)
-		require.True(t, d.Advance(begin.Add(MissingFor+1)))
+		require.True(t, d.Advance(begin.Add(MissingTimeout+1)))
 		require.Equal(t, Gone, d.View().ByName("s-1").Status)
-		require.False(t, d.Recall(said(draining, 2), true, begin.Add(MissingFor+2), begin.Add(time.Hour)), "it is gone since before")
+		require.False(t, d.Recall(said(draining, 2), true, begin.Add(MissingTimeout+2), begin.Add(time.Hour)), "it is gone since before")
 	}
 }
 
@@ -66,7 +66,7 @@
 	require.Equal(t, Draining, d.View().ByName("s-1").Status)
 	d.Unregister("s-1", begin)
 	require.Equal(t, Draining, d.View().ByName("s-1").Status)
-	d.Advance(begin.Add(MissingFor + 1))
+	d.Advance(begin.Add(MissingTimeout + 1))
 	require.Equal(t, Gone, d.View().ByName("s-1").Status)
 	require.False(t, d.RecallGone("s-1", begin.Add(time.Second)))
 	require.False(t, d.RecallGone("unknown", begin.Add(time.Second)))
--- a/bronzeroute/zones_test.go
+++ b/bronzeroute/zones_test.go
@@ -49,7 +49,7 @@
 	d.DrainZone("x")
 	d.Unregister("x-1", begin)
 	require.Equal(t, Draining, d.View().ByName("x-1").Status)
-	require.True(t, d.Advance(begin.Add(MissingFor+1)))
+	require.True(t, d.Advance(begin.Add(MissingTimeout+1)))
 	require.Equal(t, Gone, d.View().ByName("x-1").Status)
 }
 
--- a/bronzesteer/steer_test.go
+++ b/bronzesteer/steer_test.go
@@ -75,7 +75,7 @@
 	s.directory.Unregister(c.server.Instance, s.now)
 	s.node.SetView(s.directory.View())
 	require.Equal(t, Forward, c.ask().Kind, "its registration may be back")
-	s.pass(bronzeroute.MissingFor + time.Millisecond)
+	s.pass(bronzeroute.MissingTimeout + time.Millisecond)
 	s.directory.Advance(s.now)
 	s.node.SetView(s.directory.View())
 	d := c.askAgain()
--- a/bronzesteer/zones_test.go
+++ b/bronzesteer/zones_test.go
@@ -105,7 +105,7 @@
 		_, d := s.open(live)
 		require.Equal(t, "a", d.Server.AvailabilityZone, "missing servers of other zones are")
 	}
-	s.directory.Advance(s.now.Add(bronzeroute.MissingFor + 1))
+	s.directory.Advance(s.now.Add(bronzeroute.MissingTimeout + 1))
 	s.node.SetView(s.directory.View())
 	_, d := s.open(live)
 	require.Equal(t, Decision{Kind: End, Reason: NoServer}, d, "nobody is there")
