--- a/bronzeroute/directory.go
+++ b/bronzeroute/directory.go
@@ -14,9 +14,9 @@
 	// back about two seconds after it, and new flows must keep away from a
 	// server that is gone within three.
 	MissingTimeout = 2300 * time.Millisecond
-	// RememberFor is how long a server that is gone keeps its token and
+	// GoneRetention is how long a server that is gone keeps its token and
 	// address known. No flow lives longer than a minute.
-	RememberFor = 75 * time.Second
+	GoneRetention = 75 * time.Second
 	// RememberRoutesFor is how long a route that was withdrawn is remembered,
 	// so that its open flows are ended and not taken for unknown ones.
 	RememberRoutesFor = 75 * time.Second
@@ -146,7 +146,7 @@
 func (d *Directory) Advance(now time.Time) (changed bool) {
 	for name, e := range d.absent {
 		switch {
-		case !e.gone.IsZero() && now.Sub(e.gone) > RememberFor:
+		case !e.gone.IsZero() && now.Sub(e.gone) > GoneRetention:
 			delete(d.servers, name)
 			delete(d.absent, name)
 			i, _ := d.find(name)
--- a/bronzeroute/directory_test.go
+++ b/bronzeroute/directory_test.go
@@ -72,7 +72,7 @@
 	require.Empty(t, v.Pool("a"))
 	require.Equal(t, v.ByName("s"), v.ByToken(live, v.Token(live, v.ByName("s"))), "its flows can be told from unknown ones")
 
-	require.True(t, d.Advance(begin.Add(2*RememberFor)))
+	require.True(t, d.Advance(begin.Add(2*GoneRetention)))
 	require.Nil(t, d.View().ByName("s"))
 }
 
--- a/bronzeroute/naive_test.go
+++ b/bronzeroute/naive_test.go
@@ -33,7 +33,7 @@
 
 func (n naive) advance(now time.Time) {
 	for name, s := range n {
-		if !s.gone.IsZero() && now.Sub(s.gone) > RememberFor {
+		if !s.gone.IsZero() && now.Sub(s.gone) > GoneRetention {
 			delete(n, name)
 		} else if s.gone.IsZero() && !s.missing.IsZero() && now.Sub(s.missing) > MissingTimeout {
 			s.gone = now
