--- a/bronzeroute/directory.go
+++ b/bronzeroute/directory.go
@@ -17,9 +17,9 @@
 	// GoneRetention is how long a server that is gone keeps its token and
 	// address known. No flow lives longer than a minute.
 	GoneRetention = 75 * time.Second
-	// RememberRoutesFor is how long a route that was withdrawn is remembered,
+	// WithdrawnRouteRetention is how long a route that was withdrawn is remembered,
 	// so that its open flows are ended and not taken for unknown ones.
-	RememberRoutesFor = 75 * time.Second
+	WithdrawnRouteRetention = 75 * time.Second
 )
 
 // Directory keeps the table in force and the servers. The zero Directory is
@@ -164,7 +164,7 @@
 	changed = d.releaseZones(now) || changed
 	d.zones.forget(now)
 	for service, at := range d.withdrawn {
-		if now.Sub(at) > RememberRoutesFor {
+		if now.Sub(at) > WithdrawnRouteRetention {
 			delete(d.withdrawn, service)
 			d.routesStale = true
 			changed = true
--- a/bronzeroute/directory_test.go
+++ b/bronzeroute/directory_test.go
@@ -96,7 +96,7 @@
 	d.SetTable(table(3, route(live, "a")), begin)
 	require.False(t, d.View().Withdrawn(live))
 	require.True(t, d.View().Withdrawn(other))
-	d.Advance(begin.Add(2 * RememberRoutesFor))
+	d.Advance(begin.Add(2 * WithdrawnRouteRetention))
 	require.False(t, d.View().Withdrawn(other))
 }
 
