--- a/bronzeroute/example_test.go
+++ b/bronzeroute/example_test.go
@@ -16,7 +16,7 @@
 		Version: 1,
 		Routes: []bronzeroute.Route{{
 			Service: service,
-			Shares:  []bronzeroute.Share{{Pool: "map-live", Weight: 1}},
+			Shares:  []bronzeroute.WeightedPool{{Pool: "map-live", Weight: 1}},
 		}},
 	}, time.Now())
 	d.Register(bronzeroute.Server{BackendServer: bronzeconf.BackendServer{Instance: "host-1"}, Pool: "map-live"})
--- a/bronzeroute/table.go
+++ b/bronzeroute/table.go
@@ -7,8 +7,8 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// Share is one pool of a route and its weight among the route's pools.
-type Share struct {
+// WeightedPool is one pool of a route and its weight among the route's pools.
+type WeightedPool struct {
 	Pool   string
 	Weight int
 }
@@ -20,7 +20,7 @@
 	// Customer is whose service it is. What it uses of a node is bounded so that
 	// others have room.
 	Customer string
-	Shares   []Share
+	Shares   []WeightedPool
 	// Idempotent says that callers repeat the requests in these flows after
 	// any failure, so that ending a flow early loses nothing.
 	Idempotent bool
--- a/bronzeroute/tokens.go
+++ b/bronzeroute/tokens.go
@@ -224,5 +224,5 @@
 	if r == nil {
 		return len(pools) == 0
 	}
-	return slices.EqualFunc(r.Shares, pools, func(s Share, name string) bool { return s.Pool == name })
+	return slices.EqualFunc(r.Shares, pools, func(s WeightedPool, name string) bool { return s.Pool == name })
 }
--- a/bronzesteer/harness_test.go
+++ b/bronzesteer/harness_test.go
@@ -36,7 +36,7 @@
 func newSite(t *testing.T, servers ...int) *site {
 	t.Helper()
 	s := &site{t: t, now: begin, port: 1024}
-	shares := []bronzeroute.Share{{Pool: "live", Weight: 1}}
+	shares := []bronzeroute.WeightedPool{{Pool: "live", Weight: 1}}
 	s.directory.SetTable(&bronzeroute.Table{Version: 1, Routes: []bronzeroute.Route{
 		{Name: "live", Service: live, Shares: shares, Idempotent: true},
 		{Name: "outline", Service: outline, Shares: shares},
--- a/bronzesteer/hedge_test.go
+++ b/bronzesteer/hedge_test.go
@@ -145,7 +145,7 @@
 // take the place of another caller's.
 func TestOpeningsArentHedgedWhereServersAreBusy(t *testing.T) {
 	s := newSite(t, 3)
-	shares := []bronzeroute.Share{{Pool: "live", Weight: 1}}
+	shares := []bronzeroute.WeightedPool{{Pool: "live", Weight: 1}}
 	s.directory.SetTable(&bronzeroute.Table{Version: 2, Routes: []bronzeroute.Route{
 		{Name: "live", Service: live, Shares: shares, Idempotent: true, Objective: 100 * time.Millisecond},
 	}}, s.now)
--- a/bronzesteer/overload_test.go
+++ b/bronzesteer/overload_test.go
@@ -55,7 +55,7 @@
 func newQueueSite(t *testing.T, perZone int) *queueSite {
 	q := &queueSite{site: newSite(t, perZone, perZone), rnd: rand.New(rand.NewPCG(5, 6)), slots: map[string][]time.Time{}}
 	q.node.Random = q.rnd.IntN
-	shares := []bronzeroute.Share{{Pool: "live", Weight: 1}}
+	shares := []bronzeroute.WeightedPool{{Pool: "live", Weight: 1}}
 	q.directory.SetTable(&bronzeroute.Table{Version: 2, Routes: []bronzeroute.Route{
 		{Name: "live", Service: live, Shares: shares, Idempotent: true, Objective: simObjective},
 		{Name: "outline", Service: outline, Shares: shares, Objective: simObjective},
--- a/bronzesteer/steer_test.go
+++ b/bronzesteer/steer_test.go
@@ -38,7 +38,7 @@
 	c := s.serve(live)
 	server := c.server
 	s.directory.SetTable(&bronzeroute.Table{Version: 2, Routes: []bronzeroute.Route{
-		{Service: live, Shares: []bronzeroute.Share{{Pool: "archive", Weight: 1}}, Idempotent: true},
+		{Service: live, Shares: []bronzeroute.WeightedPool{{Pool: "archive", Weight: 1}}, Idempotent: true},
 	}}, s.now)
 	s.node = s.newNode()
 	require.Equal(t, server.Instance, c.ask().Server.Instance)
@@ -208,7 +208,7 @@
 // flow of another Customer is followed as ever.
 func TestFloodOfOpeningsIsBounded(t *testing.T) {
 	s := newSite(t, 2)
-	shares := []bronzeroute.Share{{Pool: "live", Weight: 1}}
+	shares := []bronzeroute.WeightedPool{{Pool: "live", Weight: 1}}
 	s.directory.SetTable(&bronzeroute.Table{Version: 2, Routes: []bronzeroute.Route{
 		{Name: "live", Service: live, Shares: shares, Customer: "flooded"},
 		{Name: "outline", Service: outline, Shares: shares, Customer: "other"},
