--- a/bronzeedge/recall_test.go
+++ b/bronzeedge/recall_test.go
@@ -35,7 +35,7 @@
 		CheckDrain:  func(bronzerecord.Record) error { return nil },
 		Table: func(r bronzerecord.Record) (t *bronzeroute.Table, err error) {
 			t = &bronzeroute.Table{Routes: []bronzeroute.Route{{
-				Service: netip.MustParseAddrPort("198.18.0.1:443"), Shares: []bronzeroute.WeightedPool{{Pool: "live", Weight: 1}},
+				Service: netip.MustParseAddrPort("198.18.0.1:443"), Pools: []bronzeroute.WeightedPool{{Pool: "live", Weight: 1}},
 			}}}
 			_, err = fmt.Sscan(string(r.Body), &t.Version)
 			return t, err
--- a/bronzeroute/directory_test.go
+++ b/bronzeroute/directory_test.go
@@ -29,7 +29,7 @@
 func route(service netip.AddrPort, pools ...string) Route {
 	r := Route{Service: service}
 	for _, p := range pools {
-		r.Shares = append(r.Shares, WeightedPool{Pool: p, Weight: 1})
+		r.Pools = append(r.Pools, WeightedPool{Pool: p, Weight: 1})
 	}
 	return r
 }
@@ -156,7 +156,7 @@
 }
 
 func TestPickKeepsToTheWeights(t *testing.T) {
-	r := Route{Shares: []WeightedPool{{Pool: "a", Weight: 90}, {Pool: "b", Weight: 10}, {Pool: "c"}}}
+	r := Route{Pools: []WeightedPool{{Pool: "a", Weight: 90}, {Pool: "b", Weight: 10}, {Pool: "c"}}}
 	count := map[string]int{}
 	for i := range 20_000 {
 		pool, ok := r.Pick(uint64(i) * 0x9e3779b97f4a7c15)
@@ -167,7 +167,7 @@
 	require.InDelta(t, 2_000, count["b"], 200)
 	require.Zero(t, count["c"])
 
-	none := Route{Shares: []WeightedPool{{Pool: "a"}}}
+	none := Route{Pools: []WeightedPool{{Pool: "a"}}}
 	_, ok := none.Pick(1)
 	require.False(t, ok)
 }
--- a/bronzeroute/example_test.go
+++ b/bronzeroute/example_test.go
@@ -16,13 +16,13 @@
 		Version: 1,
 		Routes: []bronzeroute.Route{{
 			Service: service,
-			Shares:  []bronzeroute.WeightedPool{{Pool: "map-live", Weight: 1}},
+			Pools:   []bronzeroute.WeightedPool{{Pool: "map-live", Weight: 1}},
 		}},
 	}, time.Now())
 	d.Register(bronzeroute.Server{BackendServer: bronzeconf.BackendServer{Instance: "host-1"}, Pool: "map-live"})
 
 	view := d.View()
-	for _, s := range view.Pool(view.Route(service).Shares[0].Pool) {
+	for _, s := range view.Pool(view.Route(service).Pools[0].Pool) {
 		fmt.Println(s.Instance, s.Status)
 	}
 	// Output: host-1 Serving
--- a/bronzeroute/table.go
+++ b/bronzeroute/table.go
@@ -20,7 +20,7 @@
 	// Customer is whose service it is. What it uses of a node is bounded so that
 	// others have room.
 	Customer string
-	Shares   []WeightedPool
+	Pools    []WeightedPool
 	// Idempotent says that callers repeat the requests in these flows after
 	// any failure, so that ending a flow early loses nothing.
 	Idempotent bool
@@ -34,8 +34,8 @@
 // Allows reports whether the route names the pool, whatever its weight: a
 // weight that fell to 0 keeps new flows away but doesn't end open ones.
 func (r *Route) Allows(pool string) bool {
-	for i := range r.Shares {
-		if r.Shares[i].Pool == pool {
+	for i := range r.Pools {
+		if r.Pools[i].Pool == pool {
 			return true
 		}
 	}
@@ -47,18 +47,18 @@
 // node. ok is false if no pool has a weight.
 func (r *Route) Pick(hash uint64) (pool string, ok bool) {
 	total := 0
-	for i := range r.Shares {
-		total += r.Shares[i].Weight
+	for i := range r.Pools {
+		total += r.Pools[i].Weight
 	}
 	if total <= 0 {
 		return "", false
 	}
 	// Mix makes the choice independent of other uses of the hash.
 	at := int(bronzeflow.Mix(hash, pickSalt) % uint64(total))
-	for i := range r.Shares {
-		at -= r.Shares[i].Weight
+	for i := range r.Pools {
+		at -= r.Pools[i].Weight
 		if at < 0 {
-			return r.Shares[i].Pool, true
+			return r.Pools[i].Pool, true
 		}
 	}
 	return "", false
--- a/bronzeroute/tokens.go
+++ b/bronzeroute/tokens.go
@@ -213,8 +213,8 @@
 	if r == nil {
 		return nil
 	}
-	for i := range r.Shares {
-		names = append(names, r.Shares[i].Pool)
+	for i := range r.Pools {
+		names = append(names, r.Pools[i].Pool)
 	}
 	return names
 }
@@ -224,5 +224,5 @@
 	if r == nil {
 		return len(pools) == 0
 	}
-	return slices.EqualFunc(r.Shares, pools, func(s WeightedPool, name string) bool { return s.Pool == name })
+	return slices.EqualFunc(r.Pools, pools, func(s WeightedPool, name string) bool { return s.Pool == name })
 }
--- a/bronzesteer/harness_test.go
+++ b/bronzesteer/harness_test.go
@@ -38,8 +38,8 @@
 	s := &site{t: t, now: begin, port: 1024}
 	shares := []bronzeroute.WeightedPool{{Pool: "live", Weight: 1}}
 	s.directory.SetTable(&bronzeroute.Table{Version: 1, Routes: []bronzeroute.Route{
-		{Name: "live", Service: live, Shares: shares, Idempotent: true},
-		{Name: "outline", Service: outline, Shares: shares},
+		{Name: "live", Service: live, Pools: shares, Idempotent: true},
+		{Name: "outline", Service: outline, Pools: shares},
 	}}, s.now)
 	for zone, n := range servers {
 		for i := range n {
--- a/bronzesteer/hedge_test.go
+++ b/bronzesteer/hedge_test.go
@@ -147,7 +147,7 @@
 	s := newSite(t, 3)
 	shares := []bronzeroute.WeightedPool{{Pool: "live", Weight: 1}}
 	s.directory.SetTable(&bronzeroute.Table{Version: 2, Routes: []bronzeroute.Route{
-		{Name: "live", Service: live, Shares: shares, Idempotent: true, Objective: 100 * time.Millisecond},
+		{Name: "live", Service: live, Pools: shares, Idempotent: true, Objective: 100 * time.Millisecond},
 	}}, s.now)
 	s.node.SetView(s.directory.View())
 	clients := s.load(24, live)
--- a/bronzesteer/overload_test.go
+++ b/bronzesteer/overload_test.go
@@ -57,8 +57,8 @@
 	q.node.Random = q.rnd.IntN
 	shares := []bronzeroute.WeightedPool{{Pool: "live", Weight: 1}}
 	q.directory.SetTable(&bronzeroute.Table{Version: 2, Routes: []bronzeroute.Route{
-		{Name: "live", Service: live, Shares: shares, Idempotent: true, Objective: simObjective},
-		{Name: "outline", Service: outline, Shares: shares, Objective: simObjective},
+		{Name: "live", Service: live, Pools: shares, Idempotent: true, Objective: simObjective},
+		{Name: "outline", Service: outline, Pools: shares, Objective: simObjective},
 	}}, q.now)
 	q.node.SetView(q.directory.View())
 	for _, s := range q.node.View().Servers {
--- a/bronzesteer/place.go
+++ b/bronzesteer/place.go
@@ -99,11 +99,11 @@
 		return choice{}
 	}
 	best := s.choose(k.pools[pool], tried, at, now)
-	for i := range route.Shares {
+	for i := range route.Pools {
 		if best.tier > tierAvoided {
 			break
 		}
-		share := &route.Shares[i]
+		share := &route.Pools[i]
 		if share.Weight <= 0 || share.Pool == pool {
 			continue
 		}
--- a/bronzesteer/place_test.go
+++ b/bronzesteer/place_test.go
@@ -203,7 +203,7 @@
 	s.directory.Register(archive)
 	s.directory.SetTable(&bronzeroute.Table{Version: 2, Routes: []bronzeroute.Route{{
 		Service: live, Idempotent: true,
-		Shares: []bronzeroute.WeightedPool{{Pool: "archive", Weight: 99}, {Pool: "live", Weight: 1}},
+		Pools: []bronzeroute.WeightedPool{{Pool: "archive", Weight: 99}, {Pool: "live", Weight: 1}},
 	}}}, s.now)
 	s.node.SetView(s.directory.View())
 	b := s.node.known.Load().backendOf(s.node.View().ByName("b-0"), nil)
--- a/bronzesteer/refuse.go
+++ b/bronzesteer/refuse.go
@@ -56,11 +56,11 @@
 // whyNobody tells why no server of a route may take a flow.
 func (s *Steerer) whyNobody(k *known, route *bronzeroute.Route, now time.Time) (r Reason) {
 	r = NoServer
-	for i := range route.Shares {
-		if route.Shares[i].Weight <= 0 {
+	for i := range route.Pools {
+		if route.Pools[i].Weight <= 0 {
 			continue
 		}
-		for _, m := range k.membersOf(route.Shares[i].Pool) {
+		for _, m := range k.membersOf(route.Pools[i].Pool) {
 			switch {
 			case m.server.ZoneDrained && !m.server.Draining:
 				r = ZoneDrained
@@ -76,8 +76,8 @@
 // silent, as in a zone that is cut off and has no server of the pool. A caller
 // would wait 1.4 s for nothing with each try.
 func (s *Steerer) noneAnswers(k *known, route *bronzeroute.Route, at time.Duration) bool {
-	for i := range route.Shares {
-		share := &route.Shares[i]
+	for i := range route.Pools {
+		share := &route.Pools[i]
 		if share.Weight <= 0 {
 			continue
 		}
--- a/bronzesteer/refuse_test.go
+++ b/bronzesteer/refuse_test.go
@@ -19,8 +19,8 @@
 func newCutSite(t *testing.T) (s *site, own []*client) {
 	s = newSite(t, 4, 4)
 	s.directory.SetTable(&bronzeroute.Table{Version: 2, Routes: []bronzeroute.Route{
-		{Name: "live", Service: live, Shares: []bronzeroute.WeightedPool{{Pool: "live", Weight: 1}}, Idempotent: true},
-		{Name: "archive", Service: archive, Shares: []bronzeroute.WeightedPool{{Pool: "archive", Weight: 1}}, Idempotent: true},
+		{Name: "live", Service: live, Pools: []bronzeroute.WeightedPool{{Pool: "live", Weight: 1}}, Idempotent: true},
+		{Name: "archive", Service: archive, Pools: []bronzeroute.WeightedPool{{Pool: "archive", Weight: 1}}, Idempotent: true},
 	}}, s.now)
 	for _, name := range []string{"x-0", "x-1"} {
 		s.directory.Register(bronzeroute.Server{
--- a/bronzesteer/steer_test.go
+++ b/bronzesteer/steer_test.go
@@ -38,7 +38,7 @@
 	c := s.serve(live)
 	server := c.server
 	s.directory.SetTable(&bronzeroute.Table{Version: 2, Routes: []bronzeroute.Route{
-		{Service: live, Shares: []bronzeroute.WeightedPool{{Pool: "archive", Weight: 1}}, Idempotent: true},
+		{Service: live, Pools: []bronzeroute.WeightedPool{{Pool: "archive", Weight: 1}}, Idempotent: true},
 	}}, s.now)
 	s.node = s.newNode()
 	require.Equal(t, server.Instance, c.ask().Server.Instance)
@@ -210,8 +210,8 @@
 	s := newSite(t, 2)
 	shares := []bronzeroute.WeightedPool{{Pool: "live", Weight: 1}}
 	s.directory.SetTable(&bronzeroute.Table{Version: 2, Routes: []bronzeroute.Route{
-		{Name: "live", Service: live, Shares: shares, Customer: "flooded"},
-		{Name: "outline", Service: outline, Shares: shares, Customer: "other"},
+		{Name: "live", Service: live, Pools: shares, Customer: "flooded"},
+		{Name: "outline", Service: outline, Pools: shares, Customer: "other"},
 	}}, s.now)
 	s.node.SetView(s.directory.View())
 	flood := s.node.account(s.node.View().Route(live))
--- a/bronzesteer/warmup_test.go
+++ b/bronzesteer/warmup_test.go
@@ -67,7 +67,7 @@
 	}
 	table := &bronzeroute.Table{
 		Version: 1,
-		Routes:  []bronzeroute.Route{{Name: "live", Service: live, Shares: []bronzeroute.WeightedPool{{Pool: "live", Weight: 1}}}},
+		Routes:  []bronzeroute.Route{{Name: "live", Service: live, Pools: []bronzeroute.WeightedPool{{Pool: "live", Weight: 1}}}},
 		Warmups: map[string]bronzeroute.Warmup{"live": {For: warmupFor, PerSecond: perSecond}},
 	}
 	f.directory.SetTable(table, f.now)
--- a/bronzesteer/zones_test.go
+++ b/bronzesteer/zones_test.go
@@ -116,7 +116,7 @@
 	s, _ := newCutSite(t)
 	s.directory.SetTable(&bronzeroute.Table{Version: 3, Routes: []bronzeroute.Route{{
 		Name: "archive", Service: archive,
-		Shares: []bronzeroute.WeightedPool{{Pool: "none", Weight: 1 << 30}, {Pool: "archive", Weight: 1}},
+		Pools: []bronzeroute.WeightedPool{{Pool: "none", Weight: 1 << 30}, {Pool: "archive", Weight: 1}},
 	}}}, s.now)
 	s.node.SetView(s.directory.View())
 	_, d := s.open(archive)
