--- a/bronzeroute/table.go
+++ b/bronzeroute/table.go
@@ -31,9 +31,9 @@
 	Objective time.Duration
 }
 
-// Allows reports whether the route names the pool, whatever its weight: a
+// HasPool reports whether the route names the pool, whatever its weight: a
 // weight that fell to 0 keeps new flows away but doesn't end open ones.
-func (r *Route) Allows(pool string) bool {
+func (r *Route) HasPool(pool string) bool {
 	for i := range r.Pools {
 		if r.Pools[i].Pool == pool {
 			return true
