--- a/bronzeroute/server.go
+++ b/bronzeroute/server.go
@@ -71,7 +71,7 @@
 // it counts as cold for as long as a start takes: it may have started just before, and
 // its registration that says so come later than the return does.
 func (s *Server) Warm(now time.Time) bool {
-	if !s.ZoneReturned.IsZero() && now.Sub(s.ZoneReturned) < s.Warmup.For {
+	if !s.ZoneReturned.IsZero() && now.Sub(s.ZoneReturned) < s.Warmup.Duration {
 		return false
 	}
 	return now.Sub(s.Heard) >= s.Cold
--- a/bronzeroute/table.go
+++ b/bronzeroute/table.go
@@ -69,8 +69,8 @@
 
 // Warmup is what the servers of a pool bear after a start.
 type Warmup struct {
-	// For is how long a start takes.
-	For time.Duration
+	// Duration is how long a start takes.
+	Duration time.Duration
 	// PerSecond is how many requests a second one server may get meanwhile, of all nodes
 	// together; 0 if no limit is told.
 	PerSecond float64
