--- a/bronzeroute/table.go
+++ b/bronzeroute/table.go
@@ -71,9 +71,9 @@
 type Warmup struct {
 	// Duration is how long a start takes.
 	Duration time.Duration
-	// PerSecond is how many requests a second one server may get meanwhile, of all nodes
+	// RequestsPerSecond is how many requests a second one server may get meanwhile, of all nodes
 	// together; 0 if no limit is told.
-	PerSecond float64
+	RequestsPerSecond float64
 }
 
 // Table is one published version of the routes.
--- a/bronzeroute/zones_test.go
+++ b/bronzeroute/zones_test.go
@@ -59,7 +59,7 @@
 func TestServersAreColdAfterTheirZonesReturn(t *testing.T) {
 	var d Directory
 	first := table(1, route(live, "a"))
-	first.Warmups = map[string]Warmup{"a": {Duration: 2 * time.Second, PerSecond: 10}}
+	first.Warmups = map[string]Warmup{"a": {Duration: 2 * time.Second, RequestsPerSecond: 10}}
 	d.SetTable(first, begin)
 	d.Register(serverIn("x", "x-1"))
 	d.Register(serverIn("y", "y-1"))
@@ -78,7 +78,7 @@
 	d.Register(serverIn("x", "x-1"))
 	require.Zero(t, d.View().ByName("x-1").Warmup)
 	next := table(2, route(live, "a"))
-	next.Warmups = map[string]Warmup{"a": {Duration: time.Second, PerSecond: 3}}
+	next.Warmups = map[string]Warmup{"a": {Duration: time.Second, RequestsPerSecond: 3}}
 	d.SetTable(next, begin)
 	require.Equal(t, next.Warmups["a"], d.View().ByName("x-1").Warmup)
 }
--- a/bronzesteer/warmup.go
+++ b/bronzesteer/warmup.go
@@ -76,7 +76,7 @@
 // isLimited reports whether the server may be given only what a cold one bears. A node that
 // stood still doesn't know which have started meanwhile.
 func (s *Steerer) isLimited(server *bronzeroute.Server, now time.Time) bool {
-	return server.Warmup.PerSecond > 0 && (!server.Warm(now) || s.unsure.Load())
+	return server.Warmup.RequestsPerSecond > 0 && (!server.Warm(now) || s.unsure.Load())
 }
 
 // warmup is this node's part of what a cold server bears.
@@ -145,7 +145,7 @@
 		return 0
 	}
 	nodes := min(warmupNodes, len(n.names)+1)
-	return time.Duration(float64(nodes) / (warmupPart * server.Warmup.PerSecond) * float64(time.Second))
+	return time.Duration(float64(nodes) / (warmupPart * server.Warmup.RequestsPerSecond) * float64(time.Second))
 }
 
 // warmupRank is a node's place in the order of those that may send to a cold server.
--- a/bronzesteer/warmup_test.go
+++ b/bronzesteer/warmup_test.go
@@ -68,7 +68,7 @@
 	table := &bronzeroute.Table{
 		Version: 1,
 		Routes:  []bronzeroute.Route{{Name: "live", Service: live, Pools: []bronzeroute.WeightedPool{{Pool: "live", Weight: 1}}}},
-		Warmups: map[string]bronzeroute.Warmup{"live": {Duration: warmupFor, PerSecond: perSecond}},
+		Warmups: map[string]bronzeroute.Warmup{"live": {Duration: warmupFor, RequestsPerSecond: perSecond}},
 	}
 	f.directory.SetTable(table, f.now)
 	for i := range zones {
