--- a/bronzeroute/server.go
+++ b/bronzeroute/server.go
@@ -41,8 +41,8 @@
 	// Incarnation is the number that the server checks on each packet, which
 	// keeps a packet from a later user of its address.
 	Incarnation uint64
-	// Registered is the revision at which it first registered.
-	Registered uint64
+	// RegisteredRevision is the revision at which it first registered.
+	RegisteredRevision uint64
 	// Born is when it started, by its own clock, the zero time if it doesn't tell. A
 	// BackendServer may start again under its name: it then has none of the flows that
 	// it had.
--- a/bronzeroute/tokens.go
+++ b/bronzeroute/tokens.go
@@ -59,7 +59,7 @@
 func (t *tokens) add(s *Server) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	h := tokenHolder{pool: s.Pool, since: s.Registered}
+	h := tokenHolder{pool: s.Pool, since: s.RegisteredRevision}
 	if before, known := t.servers[s.Instance]; known && before == h {
 		return
 	}
@@ -67,7 +67,7 @@
 		t.servers = make(map[string]tokenHolder)
 	}
 	t.servers[s.Instance] = h
-	holder := bronzetoken.Holder{Name: s.Instance, Since: s.Registered}
+	holder := bronzetoken.Holder{Name: s.Instance, Since: s.RegisteredRevision}
 	for _, e := range t.endpoints {
 		e.served.Remove(s.Instance)
 		if slices.Contains(e.pools, s.Pool) {
--- a/bronzesteer/harness_test.go
+++ b/bronzesteer/harness_test.go
@@ -56,7 +56,7 @@
 		BackendServer: bronzeconf.BackendServer{
 			ID: bronzeflow.NewServerID("live", name), Instance: name, AvailabilityZone: zone, Slots: 2,
 		},
-		Pool: "live", Registered: uint64(i),
+		Pool: "live", RegisteredRevision: uint64(i),
 	})
 }
 
--- a/bronzesteer/refuse_test.go
+++ b/bronzesteer/refuse_test.go
@@ -27,7 +27,7 @@
 			BackendServer: bronzeconf.BackendServer{
 				ID: bronzeflow.NewServerID("archive", name), Instance: name, AvailabilityZone: "b", Slots: 2,
 			},
-			Pool: "archive", Registered: 100,
+			Pool: "archive", RegisteredRevision: 100,
 		})
 	}
 	s.node.SetView(s.directory.View())
--- a/bronzesteer/warmup_test.go
+++ b/bronzesteer/warmup_test.go
@@ -102,7 +102,7 @@
 		BackendServer: bronzeconf.BackendServer{
 			ID: bronzeflow.NewServerID("live", name), Instance: name, AvailabilityZone: zone, Slots: 2,
 		},
-		Pool: "live", Registered: uint64(i), Cold: cold, Heard: f.now,
+		Pool: "live", RegisteredRevision: uint64(i), Cold: cold, Heard: f.now,
 	})
 }
 
@@ -329,7 +329,7 @@
 		BackendServer: bronzeconf.BackendServer{
 			ID: bronzeflow.NewServerID("live", "warm"), Instance: "warm", AvailabilityZone: "a", Slots: 2,
 		},
-		Pool: "live", Registered: 99,
+		Pool: "live", RegisteredRevision: 99,
 	})
 	f.publish()
 	f.refused = 0
