--- a/bronzeedge/records.go
+++ b/bronzeedge/records.go
@@ -97,8 +97,8 @@
 		"Instance": s.Instance, "Pool": s.Pool, "Address": s.Address.String(), "AvailabilityZone": s.AvailabilityZone,
 		"Draining": s.Draining, "ColdMS": s.Cold.Milliseconds(), "Epoch": epoch, "Revision": r.Revision,
 	}
-	if !s.Born.IsZero() {
-		fields["Born"] = s.Born.UTC()
+	if !s.StartedAt.IsZero() {
+		fields["Born"] = s.StartedAt.UTC()
 	}
 	if !taken {
 		e.log.Line("RegistrationOutOfDate", fields)
--- a/bronzeroute/directory.go
+++ b/bronzeroute/directory.go
@@ -90,7 +90,7 @@
 		d.servers = make(map[string]*entry)
 	}
 	e := d.servers[s.Instance]
-	if e != nil && s.Born.Before(e.server.Born) {
+	if e != nil && s.StartedAt.Before(e.server.StartedAt) {
 		return false
 	}
 	if e == nil {
--- a/bronzeroute/recall.go
+++ b/bronzeroute/recall.go
@@ -20,7 +20,7 @@
 	case e == nil:
 		// What the copy has of it names no server.
 		return false
-	case s.Born.After(e.server.Born):
+	case s.StartedAt.After(e.server.StartedAt):
 		d.Register(s)
 	case s.Draining && !e.server.Draining && !e.server.wroteAfter(&s):
 		d.hold(e, until, true)
@@ -85,7 +85,7 @@
 
 // wroteAfter reports whether s is a later word of the same server than other.
 func (s *Server) wroteAfter(other *Server) bool {
-	return s.Born.After(other.Born) || s.Born.Equal(other.Born) && s.Sequence > other.Sequence
+	return s.StartedAt.After(other.StartedAt) || s.StartedAt.Equal(other.StartedAt) && s.Sequence > other.Sequence
 }
 
 // RecallZone keeps an AvailabilityZone drained whose drain was lost, until it is drained again,
--- a/bronzeroute/server.go
+++ b/bronzeroute/server.go
@@ -43,10 +43,10 @@
 	Incarnation uint64
 	// RegisteredRevision is the revision at which it first registered.
 	RegisteredRevision uint64
-	// Born is when it started, by its own clock, the zero time if it doesn't tell. A
+	// StartedAt is when it started, by its own clock, the zero time if it doesn't tell. A
 	// BackendServer may start again under its name: it then has none of the flows that
 	// it had.
-	Born time.Time
+	StartedAt time.Time
 	// Cold is how much longer it is slow, counted from Heard.
 	Cold  time.Duration
 	Heard time.Time
--- a/bronzesteer/backend.go
+++ b/bronzesteer/backend.go
@@ -39,7 +39,7 @@
 	return &backend{
 		instance: server.Instance, zoneName: server.AvailabilityZone,
 		zone: s.zone(server.AvailabilityZone), service: s.service(server.Pool), slots: server.Slots,
-		short: shortID(server), born: server.Born,
+		short: shortID(server), born: server.StartedAt,
 	}
 }
 
--- a/bronzesteer/restart_test.go
+++ b/bronzesteer/restart_test.go
@@ -12,7 +12,7 @@
 // start registers a start of the server that is given.
 func (s *site) start(server *bronzeroute.Server, born time.Time) {
 	again := *server
-	again.Born = born
+	again.StartedAt = born
 	s.directory.Register(again)
 	s.node.SetView(s.directory.View())
 }
--- a/bronzesteer/viewstate.go
+++ b/bronzesteer/viewstate.go
@@ -100,7 +100,7 @@
 // become returns the member as its server now is. What was seen of a server belongs
 // to its start: one that has started again is as new.
 func (s *Steerer) become(m member, server *bronzeroute.Server) member {
-	if !m.server.Born.IsZero() && server.Born.After(m.server.Born) {
+	if !m.server.StartedAt.IsZero() && server.StartedAt.After(m.server.StartedAt) {
 		now := member{server: server, backend: s.newBackend(server)}
 		m.backend.next.Store(now.backend)
 		m.leave()
