--- a/bronzeedge/records.go
+++ b/bronzeedge/records.go
@@ -95,7 +95,7 @@
 	}
 	fields := Fields{
 		"Instance": s.Instance, "Pool": s.Pool, "Address": s.Address.String(), "AvailabilityZone": s.AvailabilityZone,
-		"Draining": s.Draining, "ColdMS": s.Cold.Milliseconds(), "Epoch": epoch, "Revision": r.Revision,
+		"Draining": s.Draining, "ColdMS": s.WarmupLeft.Milliseconds(), "Epoch": epoch, "Revision": r.Revision,
 	}
 	if !s.StartedAt.IsZero() {
 		fields["Born"] = s.StartedAt.UTC()
--- a/bronzeroute/server.go
+++ b/bronzeroute/server.go
@@ -47,9 +47,9 @@
 	// BackendServer may start again under its name: it then has none of the flows that
 	// it had.
 	StartedAt time.Time
-	// Cold is how much longer it is slow, counted from Heard.
-	Cold  time.Duration
-	Heard time.Time
+	// WarmupLeft is how much longer it is slow, counted from Heard.
+	WarmupLeft time.Duration
+	Heard      time.Time
 	// Draining says that it announced to leave.
 	Draining bool
 	// Sequence counts what the server wrote since its start.
@@ -74,5 +74,5 @@
 	if !s.ZoneReturned.IsZero() && now.Sub(s.ZoneReturned) < s.Warmup.Duration {
 		return false
 	}
-	return now.Sub(s.Heard) >= s.Cold
+	return now.Sub(s.Heard) >= s.WarmupLeft
 }
