--- a/bronzeedge/recall_test.go
+++ b/bronzeedge/recall_test.go
@@ -44,7 +44,7 @@
 			instance := strings.TrimPrefix(r.Name, serverPrefix)
 			s = bronzeroute.Server{
 				BackendServer: bronzeconf.BackendServer{Instance: instance, AvailabilityZone: instance[:1]},
-				Pool:          "live", RegisteredRevision: r.Created, Heard: now,
+				Pool:          "live", RegisteredRevision: r.Created, ReceivedAt: now,
 			}
 			_, err = fmt.Sscan(string(r.Body), &s.Draining, &s.Sequence)
 			return s, err
--- a/bronzeroute/server.go
+++ b/bronzeroute/server.go
@@ -49,7 +49,7 @@
 	StartedAt time.Time
 	// WarmupLeft is how much longer it is slow, counted from Heard.
 	WarmupLeft time.Duration
-	Heard      time.Time
+	ReceivedAt time.Time
 	// Draining says that it announced to leave.
 	Draining bool
 	// Sequence counts what the server wrote since its start.
@@ -74,5 +74,5 @@
 	if !s.ZoneReturned.IsZero() && now.Sub(s.ZoneReturned) < s.Warmup.Duration {
 		return false
 	}
-	return now.Sub(s.Heard) >= s.WarmupLeft
+	return now.Sub(s.ReceivedAt) >= s.WarmupLeft
 }
--- a/bronzesteer/place_test.go
+++ b/bronzesteer/place_test.go
@@ -140,7 +140,7 @@
 	s := newSite(t, 2)
 	cold := s.node.View().ByName("a-0")
 	warm := *cold
-	warm.WarmupLeft, warm.Heard = 10*time.Second, s.now
+	warm.WarmupLeft, warm.ReceivedAt = 10*time.Second, s.now
 	s.directory.Register(warm)
 	s.node.SetView(s.directory.View())
 	var open []*client
--- a/bronzesteer/warmup_test.go
+++ b/bronzesteer/warmup_test.go
@@ -102,7 +102,7 @@
 		BackendServer: bronzeconf.BackendServer{
 			ID: bronzeflow.NewServerID("live", name), Instance: name, AvailabilityZone: zone, Slots: 2,
 		},
-		Pool: "live", RegisteredRevision: uint64(i), WarmupLeft: cold, Heard: f.now,
+		Pool: "live", RegisteredRevision: uint64(i), WarmupLeft: cold, ReceivedAt: f.now,
 	})
 }
 
