--- a/bronzeroute/directory.go
+++ b/bronzeroute/directory.go
@@ -250,7 +250,7 @@
 func (d *Directory) show(e *entry) *Server {
 	if e.shown == nil {
 		s := e.server
-		s.ZoneDrained, s.ZoneReturned = d.zones.of(s.AvailabilityZone)
+		s.ZoneDrained, s.ZoneUndrainedAt = d.zones.of(s.AvailabilityZone)
 		s.Status = e.status(s.ZoneDrained)
 		s.Warmup = d.table.Warmups[s.Pool]
 		e.shown = &s
--- a/bronzeroute/server.go
+++ b/bronzeroute/server.go
@@ -61,8 +61,8 @@
 	Status Status
 	// ZoneDrained says that its AvailabilityZone takes no new flows, and ZoneReturned
 	// when that last ended, the zero time if it never did.
-	ZoneDrained  bool
-	ZoneReturned time.Time
+	ZoneDrained     bool
+	ZoneUndrainedAt time.Time
 	// Warmup is what its pool's servers bear after a start.
 	Warmup Warmup
 }
@@ -71,7 +71,7 @@
 // it counts as cold for as long as a start takes: it may have started just before, and
 // its registration that says so come later than the return does.
 func (s *Server) Warm(now time.Time) bool {
-	if !s.ZoneReturned.IsZero() && now.Sub(s.ZoneReturned) < s.Warmup.Duration {
+	if !s.ZoneUndrainedAt.IsZero() && now.Sub(s.ZoneUndrainedAt) < s.Warmup.Duration {
 		return false
 	}
 	return now.Sub(s.ReceivedAt) >= s.WarmupLeft
