--- a/bronzeedge/zones.go
+++ b/bronzeedge/zones.go
@@ -24,7 +24,7 @@
 
 // returnZone lets new flows go to an AvailabilityZone's servers again.
 func (e *Edge) returnZone(zone string, at bronzerecord.Position, now time.Time) (changed bool) {
-	if !e.book.directory.ReturnZone(zone, now) {
+	if !e.book.directory.UndrainZone(zone, now) {
 		return false
 	}
 	e.count("ZoneReturned")
--- a/bronzeroute/recall.go
+++ b/bronzeroute/recall.go
@@ -100,7 +100,7 @@
 func (d *Directory) releaseZones(now time.Time) (changed bool) {
 	for zone, until := range d.zones.drained {
 		if !until.IsZero() && !now.Before(until) {
-			changed = d.ReturnZone(zone, now) || changed
+			changed = d.UndrainZone(zone, now) || changed
 		}
 	}
 	return changed
--- a/bronzeroute/recall_test.go
+++ b/bronzeroute/recall_test.go
@@ -87,6 +87,6 @@
 	d.Advance(until)
 	require.Equal(t, []string{"x"}, d.View().DrainedZones, "the operator has said so again")
 	require.True(t, d.RecallZone("x", until.Add(time.Second)))
-	require.True(t, d.ReturnZone("x", begin))
+	require.True(t, d.UndrainZone("x", begin))
 	require.Empty(t, d.View().DrainedZones)
 }
--- a/bronzeroute/zones.go
+++ b/bronzeroute/zones.go
@@ -37,8 +37,8 @@
 	d.zones.drained[zone] = until
 }
 
-// ReturnZone ends the drain of an AvailabilityZone at now.
-func (d *Directory) ReturnZone(zone string, now time.Time) (changed bool) {
+// UndrainZone ends the drain of an AvailabilityZone at now.
+func (d *Directory) UndrainZone(zone string, now time.Time) (changed bool) {
 	if _, known := d.zones.drained[zone]; !known {
 		return false
 	}
--- a/bronzeroute/zones_test.go
+++ b/bronzeroute/zones_test.go
@@ -34,8 +34,8 @@
 	require.Equal(t, Serving, v.ByName("y-1").Status)
 	require.Len(t, v.Pool("a"), 3)
 
-	require.True(t, d.ReturnZone("x", begin))
-	require.False(t, d.ReturnZone("x", begin), "it is none that is drained")
+	require.True(t, d.UndrainZone("x", begin))
+	require.False(t, d.UndrainZone("x", begin), "it is none that is drained")
 	require.Equal(t, Serving, d.View().ByName("x-1").Status)
 	require.Nil(t, d.View().DrainedZones)
 }
@@ -64,7 +64,7 @@
 	d.Register(serverIn("x", "x-1"))
 	d.Register(serverIn("y", "y-1"))
 	d.DrainZone("x")
-	d.ReturnZone("x", begin)
+	d.UndrainZone("x", begin)
 	v := d.View()
 	require.False(t, v.ByName("x-1").Warm(begin.Add(1999*time.Millisecond)))
 	require.True(t, v.ByName("x-1").Warm(begin.Add(2*time.Second)))
@@ -87,7 +87,7 @@
 func TestReturnsAreForgotten(t *testing.T) {
 	var d Directory
 	d.DrainZone("x")
-	d.ReturnZone("x", begin)
+	d.UndrainZone("x", begin)
 	d.Advance(begin.Add(rememberReturn + 1))
 	require.Empty(t, d.zones.returned)
 }
--- a/bronzesteer/warmup_test.go
+++ b/bronzesteer/warmup_test.go
@@ -274,7 +274,7 @@
 		f.directory.DrainZone(f.zones[0])
 		f.publish()
 	case step%20 == 8:
-		f.directory.ReturnZone(f.zones[0], f.now)
+		f.directory.UndrainZone(f.zones[0], f.now)
 		f.publish()
 	case step == 33 && rapid.Bool().Draw(r, "Pause"):
 		f.nodes[0].Paused(f.now)
--- a/bronzesteer/zones_test.go
+++ b/bronzesteer/zones_test.go
@@ -36,7 +36,7 @@
 	require.Empty(t, s.endings)
 
 	s.pass(20 * time.Second)
-	s.directory.ReturnZone("a", s.now)
+	s.directory.UndrainZone("a", s.now)
 	s.node.SetView(s.directory.View())
 	_, byZone = s.spread(30)
 	require.Equal(t, 30, byZone["a"])
