--- a/bronzeedge/recall.go
+++ b/bronzeedge/recall.go
@@ -57,7 +57,7 @@
 			return false
 		}
 		fields["Draining"] = s.Draining
-		changed = e.book.directory.Recall(s, l.Absent, now, until)
+		changed = e.book.directory.RecallServer(s, l.Absent, now, until)
 	}
 	if changed {
 		e.count("ServerRecalled")
--- a/bronzeroute/recall.go
+++ b/bronzeroute/recall.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Recall takes in what was last known of a server before its registration was lost: the store
+// RecallServer takes in what was last known of a server before its registration was lost: the store
 // came back from a copy. What the copy says counts for less until the server has registered
 // again, or until the given time. A server that said it leaves would get new flows otherwise.
 // absent says that the copy doesn't have the server. changed is false if the copy says as much.
-func (d *Directory) Recall(s Server, absent bool, now, until time.Time) (changed bool) {
+func (d *Directory) RecallServer(s Server, absent bool, now, until time.Time) (changed bool) {
 	e := d.servers[s.Instance]
 	switch {
 	case e != nil && e.gone.Before(now) && !e.gone.IsZero():
--- a/bronzeroute/recall_test.go
+++ b/bronzeroute/recall_test.go
@@ -26,19 +26,19 @@
 func TestServerThatLeavesIsNotBroughtBackByACopy(t *testing.T) {
 	d := recalled(said(false, 1))
 	until := begin.Add(time.Second)
-	require.True(t, d.Recall(said(true, 2), false, begin, until))
+	require.True(t, d.RecallServer(said(true, 2), false, begin, until))
 	require.Equal(t, Draining, d.View().ByName("s-1").Status)
 	require.False(t, d.Advance(until.Add(-1)))
 	require.True(t, d.Advance(until))
 	require.Equal(t, Serving, d.View().ByName("s-1").Status)
 
-	require.True(t, d.Recall(said(true, 2), false, begin, until))
+	require.True(t, d.RecallServer(said(true, 2), false, begin, until))
 	d.Register(said(false, 3))
 	require.Equal(t, Serving, d.View().ByName("s-1").Status)
-	require.False(t, d.Recall(said(true, 2), false, begin, until), "it wrote later than what is recalled")
+	require.False(t, d.RecallServer(said(true, 2), false, begin, until), "it wrote later than what is recalled")
 
 	d.Register(said(false, 1))
-	require.True(t, d.Recall(said(true, 2), false, begin, until))
+	require.True(t, d.RecallServer(said(true, 2), false, begin, until))
 	d.Unregister("s-1", begin)
 	require.Equal(t, Gone, d.View().ByName("s-1").Status, "it had said that it leaves")
 }
@@ -47,7 +47,7 @@
 func TestServerThatTheCopyLacksIsMissing(t *testing.T) {
 	for _, draining := range []bool{false, true} {
 		d := recalled(server("other", "a"))
-		require.True(t, d.Recall(said(draining, 2), true, begin, begin.Add(time.Second)))
+		require.True(t, d.RecallServer(said(draining, 2), true, begin, begin.Add(time.Second)))
 		want := Missing
 		if draining {
 			want = Draining
@@ -55,7 +55,7 @@
 		require.Equal(t, want, d.View().ByName("s-1").Status)
 		require.True(t, d.Advance(begin.Add(MissingTimeout+1)))
 		require.Equal(t, Gone, d.View().ByName("s-1").Status)
-		require.False(t, d.Recall(said(draining, 2), true, begin.Add(MissingTimeout+2), begin.Add(time.Hour)), "it is gone since before")
+		require.False(t, d.RecallServer(said(draining, 2), true, begin.Add(MissingTimeout+2), begin.Add(time.Hour)), "it is gone since before")
 	}
 }
 
