--- a/bronzeedge/recall.go
+++ b/bronzeedge/recall.go
@@ -49,7 +49,7 @@
 		"Until": until.UTC(),
 	}
 	if l.Removed {
-		changed = e.book.directory.RecallGone(instance, until)
+		changed = e.book.directory.RecallRemoved(instance, until)
 	} else {
 		s, err := e.seams.Decoder.Server(l.Record, now)
 		if err != nil {
--- a/bronzeroute/recall.go
+++ b/bronzeroute/recall.go
@@ -30,9 +30,9 @@
 	return true
 }
 
-// RecallGone does the same for a server whose registration had been removed. The copy brings it
+// RecallRemoved does the same for a server whose registration had been removed. The copy brings it
 // back; it lapses again unless the server lives.
-func (d *Directory) RecallGone(instance string, until time.Time) (changed bool) {
+func (d *Directory) RecallRemoved(instance string, until time.Time) (changed bool) {
 	e := d.servers[instance]
 	if e == nil || !e.gone.IsZero() {
 		return false
--- a/bronzeroute/recall_test.go
+++ b/bronzeroute/recall_test.go
@@ -62,14 +62,14 @@
 // Guards against new flows at a server whose removed registration is back, and against ending its open ones.
 func TestServerThatEndedIsNotBroughtBackByACopy(t *testing.T) {
 	d := recalled(said(false, 1))
-	require.True(t, d.RecallGone("s-1", begin.Add(time.Minute)))
+	require.True(t, d.RecallRemoved("s-1", begin.Add(time.Minute)))
 	require.Equal(t, Draining, d.View().ByName("s-1").Status)
 	d.Unregister("s-1", begin)
 	require.Equal(t, Draining, d.View().ByName("s-1").Status)
 	d.Advance(begin.Add(MissingTimeout + 1))
 	require.Equal(t, Gone, d.View().ByName("s-1").Status)
-	require.False(t, d.RecallGone("s-1", begin.Add(time.Second)))
-	require.False(t, d.RecallGone("unknown", begin.Add(time.Second)))
+	require.False(t, d.RecallRemoved("s-1", begin.Add(time.Second)))
+	require.False(t, d.RecallRemoved("unknown", begin.Add(time.Second)))
 }
 
 // Guards against new flows in a drained zone whose drain the copy lacks.
