--- a/bronzeroute/tokens.go
+++ b/bronzeroute/tokens.go
@@ -189,7 +189,7 @@
 	endpoint := service.String()
 	var found []bronzetoken.Holder
 	for name, h := range t.servers {
-		if bronzetoken.MayStandFor(endpoint, name, token) {
+		if bronzetoken.MayMatch(endpoint, name, token) {
 			found = append(found, bronzetoken.Holder{Name: name, Since: h.since})
 		}
 	}
--- a/bronzetoken/token.go
+++ b/bronzetoken/token.go
@@ -184,9 +184,9 @@
 // Len returns how many holders there are.
 func (s *Set) Len() int { return len(s.since) }
 
-// MayStandFor reports whether a token is one of the first two hashes of a name, of
+// MayMatch reports whether a token is one of the first two hashes of a name, of
 // which it then has one or, where both are contested, neither.
-func MayStandFor(endpoint, name string, token uint32) bool {
+func MayMatch(endpoint, name string, token uint32) bool {
 	for try := range spares {
 		if hash(endpoint, name, try) == token {
 			return token != 0
--- a/bronzetoken/token_test.go
+++ b/bronzetoken/token_test.go
@@ -158,10 +158,10 @@
 	}
 	s := NewSet("e", holders)
 	for token, name := range s.names {
-		require.True(t, MayStandFor("e", name, token))
-		require.False(t, MayStandFor("other", name, token))
+		require.True(t, MayMatch("e", name, token))
+		require.False(t, MayMatch("other", name, token))
 	}
-	require.False(t, MayStandFor("e", "host-1", 0))
+	require.False(t, MayMatch("e", "host-1", 0))
 }
 
 func BenchmarkAdd(b *testing.B) {
