--- a/bronzeedge/view_bench_test.go
+++ b/bronzeedge/view_bench_test.go
@@ -49,7 +49,7 @@
 func BenchmarkFirstView(b *testing.B) {
 	d := allRecords(b, 600)
 	for b.Loop() {
-		bronzeedge.ApplyAll(platform.Seams("127.0.0.1:1"), d, io.Discard)
+		bronzeedge.ApplyAll(platform.NewAdapter("127.0.0.1:1"), d, io.Discard)
 	}
 }
 
@@ -65,7 +65,7 @@
 			}
 			for b.Loop() {
 				b.StopTimer()
-				sent, err := bronzeedge.ApplyRestored(platform.Seams("127.0.0.1:1"), d, restored, func(take func()) {
+				sent, err := bronzeedge.ApplyRestored(platform.NewAdapter("127.0.0.1:1"), d, restored, func(take func()) {
 					b.StartTimer()
 					take()
 					b.StopTimer()
@@ -82,7 +82,7 @@
 // lines of all servers, of which 512 wait for their writing at most, would leave that out.
 func TestLogTellsWhenANodeOfALargeFleetIsReady(t *testing.T) {
 	var out bytes.Buffer
-	bronzeedge.ApplyAll(platform.Seams("127.0.0.1:1"), allRecords(t, 600), &out)
+	bronzeedge.ApplyAll(platform.NewAdapter("127.0.0.1:1"), allRecords(t, 600), &out)
 	require.Contains(t, out.String(), `"Message":"Ready"`)
 	require.Contains(t, out.String(), `"Records":601`)
 	require.LessOrEqual(t, strings.Count(out.String(), "\n"), 5)
--- a/cmd/bronzeedge/main.go
+++ b/cmd/bronzeedge/main.go
@@ -67,7 +67,7 @@
 	}
 	log := bronzeedge.NewLog(os.Stdout)
 	defer log.Close()
-	e, err := bronzeedge.New(cfg, platform.Seams(cfg.Store), log)
+	e, err := bronzeedge.New(cfg, platform.NewAdapter(cfg.Store), log)
 	if err != nil {
 		return err
 	}
