--- a/bronzesoak/event.go
+++ b/bronzesoak/event.go
@@ -249,7 +249,7 @@
 	for i := range s.plan.Zones {
 		zone := zoneName(i)
 		if s.drained.since(zone).IsZero() {
-			s.store.ReturnZone(zone)
+			s.store.UndrainZone(zone)
 			continue
 		}
 		if err := s.store.DrainZone(zone); err != nil {
