--- a/bronzesoak/event.go
+++ b/bronzesoak/event.go
@@ -149,11 +149,11 @@
 
 func (s *soak) storeForgets(ctx context.Context, d time.Duration) {
 	s.storeCalm.disturb(time.Now().Add(d))
-	s.store.SetDeaf(true)
+	s.store.SetEventsSuppressed(true)
 	s.addRoute()
 	bronzeretry.Pause(ctx, d)
 	s.store.Compact()
-	s.store.SetDeaf(false)
+	s.store.SetEventsSuppressed(false)
 	s.storeCalm.disturb(time.Now())
 }
 
