--- a/bronzesoak/event.go
+++ b/bronzesoak/event.go
@@ -211,7 +211,7 @@
 
 // restoreStore has the store come back from a copy that is d old.
 func (s *soak) restoreStore(ctx context.Context, d time.Duration) {
-	copied := s.store.Copy()
+	copied := s.store.Backup()
 	bronzeretry.Pause(ctx, d)
 	s.storeCalm.disturb(time.Now().Add(restoreFor))
 	s.network.change(func() { s.network.down = append(s.network.down, Reset) })
