--- a/bronzesoak/caller.go
+++ b/bronzesoak/caller.go
@@ -216,7 +216,7 @@
 	if a.End || a.Open || len(a.Payload) != requestSize {
 		return false
 	}
-	if !a.Genuine {
+	if !a.ChecksumValid {
 		f.host.soak.journal.add(Altered, "caller %v got an answer that its server did not write", f.key)
 		return false
 	}
--- a/bronzesoak/check_test.go
+++ b/bronzesoak/check_test.go
@@ -54,13 +54,13 @@
 
 // opening and data are packets of the caller's flow.
 func opening(to netip.AddrPort) *standin.Packet {
-	return &standin.Packet{Source: caller, Destination: to, Open: true, Sequence: 99, Genuine: true}
+	return &standin.Packet{Source: caller, Destination: to, Open: true, Sequence: 99, ChecksumValid: true}
 }
 
 func data(s *server, to netip.AddrPort, payload []byte) *standin.Packet {
 	f := s.flows[flowKey{caller, to}]
 	return &standin.Packet{
-		Source: caller, Destination: to, Sequence: f.next, Acknowledged: f.sequence + 1, Payload: payload, Genuine: true,
+		Source: caller, Destination: to, Sequence: f.next, Acknowledged: f.sequence + 1, Payload: payload, ChecksumValid: true,
 	}
 }
 
@@ -100,7 +100,7 @@
 		f := &callerFlow{key: flowKey{caller, liveRoute}}
 		reset := arrival{Packet: standin.Packet{End: true}, from: netip.MustParseAddr("127.9.1.1")}
 		own := reset
-		own.Genuine = true
+		own.ChecksumValid = true
 		s.judgeReset(f, &own)
 		require.Empty(t, s.broken(), "the server itself")
 
@@ -126,7 +126,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, n, servers := newChecked(t)
 		openAt(n, servers[0])
-		stray := &standin.Packet{Source: caller, Destination: liveRoute, Genuine: true}
+		stray := &standin.Packet{Source: caller, Destination: liveRoute, ChecksumValid: true}
 		time.Sleep(strayedFor)
 		for range strayedMost - 1 {
 			servers[1].take(n, stray)
--- a/bronzesoak/server.go
+++ b/bronzesoak/server.go
@@ -64,7 +64,7 @@
 		return
 	}
 	number, p, err := standin.ParseGuarded(b)
-	if err != nil || !p.Genuine {
+	if err != nil || !p.ChecksumValid {
 		s.soak.journal.add(Altered, "server %s got %d bytes from %s: %v", s.name, len(b), from, err)
 		return
 	}
--- a/bronzesoak/soak.go
+++ b/bronzesoak/soak.go
@@ -95,7 +95,7 @@
 func (s *soak) judgeReset(f *callerFlow, a *arrival) {
 	own := s.ledger.serverOf(f.key)
 	n := s.nodeOf(a.from)
-	if a.Genuine || own == nil || n == nil {
+	if a.ChecksumValid || own == nil || n == nil {
 		return
 	}
 	if r, ok := s.ledger.route(f.key.service); !ok || !r.inForce() {
@@ -130,7 +130,7 @@
 	f := h.newFlow(r.service, n)
 	_, answered, a := f.connect(ctx)
 	f.end(true)
-	if !answered || !a.End || a.Genuine || n.nodeStart() != begun {
+	if !answered || !a.End || a.ChecksumValid || n.nodeStart() != begun {
 		return
 	}
 	if now, ok := s.ledger.route(r.service); !ok || !now.inForce() {
