--- a/bronzesoak/caller.go
+++ b/bronzesoak/caller.go
@@ -171,8 +171,8 @@
 func (f *callerFlow) connect(ctx context.Context) (opened, answered bool, by arrival) {
 	a, ok := f.await(ctx, func(copied uint32) standin.Packet {
 		return standin.Packet{Open: true, Sequence: f.sequence, Acknowledged: copied}
-	}, openFor, 2, func(a *arrival) bool { return a.End || a.Accept && a.Acknowledged == f.sequence+1 })
-	if !ok || a.End {
+	}, openFor, 2, func(a *arrival) bool { return a.Reset || a.Accept && a.Acknowledged == f.sequence+1 })
+	if !ok || a.Reset {
 		return false, ok, a
 	}
 	f.open, f.token = true, a.Token
@@ -191,7 +191,7 @@
 	switch {
 	case !ok:
 		return failed, true
-	case a.End:
+	case a.Reset:
 		f.host.soak.judgeReset(f, &a)
 		return failed, true
 	}
@@ -208,12 +208,12 @@
 // isReset reports whether the caller takes a packet for the flow's end.
 func (f *callerFlow) isReset(a *arrival) bool {
 	off := int32(a.Sequence - f.acknowledged)
-	return a.End && off >= -resetWindow && off <= resetWindow
+	return a.Reset && off >= -resetWindow && off <= resetWindow
 }
 
 // answers reports whether a packet answers the request.
 func (f *callerFlow) answers(a *arrival, id uint64) bool {
-	if a.End || a.Open || len(a.Payload) != requestSize {
+	if a.Reset || a.Open || len(a.Payload) != requestSize {
 		return false
 	}
 	if !a.ChecksumValid {
--- a/bronzesoak/check_test.go
+++ b/bronzesoak/check_test.go
@@ -98,7 +98,7 @@
 		s, n, servers := newChecked(t)
 		openAt(n, servers[0])
 		f := &callerFlow{key: flowKey{caller, liveRoute}}
-		reset := arrival{Packet: standin.Packet{End: true}, from: netip.MustParseAddr("127.9.1.1")}
+		reset := arrival{Packet: standin.Packet{Reset: true}, from: netip.MustParseAddr("127.9.1.1")}
 		own := reset
 		own.ChecksumValid = true
 		s.judgeReset(f, &own)
--- a/bronzesoak/server.go
+++ b/bronzesoak/server.go
@@ -94,7 +94,7 @@
 	case p.Open:
 		s.accept(n, key, f, p, &r)
 	case f == nil:
-		s.send(&standin.Packet{Source: p.Destination, Destination: p.Source, End: true, Sequence: p.Acknowledged})
+		s.send(&standin.Packet{Source: p.Destination, Destination: p.Source, Reset: true, Sequence: p.Acknowledged})
 	default:
 		s.data(key, f, p, &r)
 	}
@@ -149,7 +149,7 @@
 		s.soak.ledger.open(key, s)
 	}
 	f.token = p.Token
-	if p.Last || p.End {
+	if p.Last || p.Reset {
 		s.soak.ledger.end(key, s)
 		delete(s.flows, key)
 		return
--- a/bronzesoak/soak.go
+++ b/bronzesoak/soak.go
@@ -130,7 +130,7 @@
 	f := h.newFlow(r.service, n)
 	_, answered, a := f.connect(ctx)
 	f.end(true)
-	if !answered || !a.End || a.ChecksumValid || n.nodeStart() != begun {
+	if !answered || !a.Reset || a.ChecksumValid || n.nodeStart() != begun {
 		return
 	}
 	if now, ok := s.ledger.route(r.service); !ok || !now.inForce() {
