--- a/bronzesoak/caller.go
+++ b/bronzesoak/caller.go
@@ -113,7 +113,7 @@
 // end forgets the flow, and tells its server unless it has ended it.
 func (f *callerFlow) end(tell bool) {
 	if tell && f.open {
-		f.send(standin.Packet{Last: true, Sequence: f.sequence, Acknowledged: f.acknowledged})
+		f.send(standin.Packet{Final: true, Sequence: f.sequence, Acknowledged: f.acknowledged})
 	}
 	f.host.mu.Lock()
 	delete(f.host.ports, f.key.caller.Port())
@@ -200,9 +200,9 @@
 	f.token = a.Token
 	f.send(standin.Packet{Sequence: f.sequence, Acknowledged: f.acknowledged})
 	if a.Payload[8] == answerFull {
-		return rejected, a.Last
+		return rejected, a.Final
 	}
-	return served, a.Last
+	return served, a.Final
 }
 
 // isReset reports whether the caller takes a packet for the flow's end.
--- a/bronzesoak/server.go
+++ b/bronzesoak/server.go
@@ -149,7 +149,7 @@
 		s.soak.ledger.open(key, s)
 	}
 	f.token = p.Token
-	if p.Last || p.Reset {
+	if p.Final || p.Reset {
 		s.soak.ledger.end(key, s)
 		delete(s.flows, key)
 		return
@@ -195,12 +195,12 @@
 	payload := binary.LittleEndian.AppendUint64(nil, id)
 	a := standin.Packet{
 		Source: key.service, Destination: key.caller, Token: f.token, Sequence: f.sequence, Acknowledged: f.next,
-		Payload: append(payload, outcome), Last: !s.drainedAt.IsZero(),
+		Payload: append(payload, outcome), Final: !s.drainedAt.IsZero(),
 	}
 	f.sequence += uint32(len(a.Payload))
 	f.answer = a.Bytes()
 	s.sendBytes(key.caller, f.answer)
-	if a.Last {
+	if a.Final {
 		s.soak.ledger.end(key, s)
 		delete(s.flows, key)
 	}
