--- a/bronzesoak/server.go
+++ b/bronzesoak/server.go
@@ -63,7 +63,7 @@
 	if n == nil || !s.soak.network.passes(n.zone, s.zone) {
 		return
 	}
-	number, p, err := standin.ParseGuarded(b)
+	number, p, err := standin.ParseForwarded(b)
 	if err != nil || !p.ChecksumValid {
 		s.soak.journal.add(Altered, "server %s got %d bytes from %s: %v", s.name, len(b), from, err)
 		return
