--- a/bronzesteer/backend.go
+++ b/bronzesteer/backend.go
@@ -14,14 +14,14 @@
 	instance string
 	zoneName string
 	zone     *zone
-	service  *service
+	stats    *poolStats
 	slots    int
-	// short stands for the server between nodes.
-	short uint32
-	// born is when the server started, the zero time if it doesn't tell, and next
+	// shortID stands for the server between nodes.
+	shortID uint32
+	// startedAt is when the server started, the zero time if it doesn't tell, and next
 	// what is seen of its next start once there is one.
-	born time.Time
-	next atomic.Pointer[backend]
+	startedAt time.Time
+	successor atomic.Pointer[backend]
 
 	// The lock guards what follows, each subject in a type of its own.
 	mu sync.Mutex
@@ -38,31 +38,31 @@
 	defer s.mu.Unlock()
 	return &backend{
 		instance: server.Instance, zoneName: server.AvailabilityZone,
-		zone: s.zone(server.AvailabilityZone), service: s.service(server.Pool), slots: server.Slots,
-		short: shortID(server), born: server.StartedAt,
+		zone: s.zone(server.AvailabilityZone), stats: s.statsOf(server.Pool), slots: server.Slots,
+		shortID: shortID(server), startedAt: server.StartedAt,
 	}
 }
 
-// service returns what is known of a pool's servers together; the caller holds
+// statsOf returns what is known of a pool's servers together; the caller holds
 // the lock.
-func (s *Steerer) service(pool string) *service {
-	t := s.services[pool]
+func (s *Steerer) statsOf(pool string) *poolStats {
+	t := s.poolStats[pool]
 	if t == nil {
-		t = &service{}
-		s.services[pool] = t
+		t = &poolStats{}
+		s.poolStats[pool] = t
 	}
 	return t
 }
 
-// forget drops what is known of endpoints and pools that are no more.
-func (s *Steerer) forget(k *known) {
+// removeUnrouted drops what is known of endpoints and pools that are no more.
+func (s *Steerer) removeUnrouted(k *viewState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forgetFree(k.view)
-	s.forgetAccounts(k.view)
-	for pool := range s.services {
+	s.removeExemptLimits(k.view)
+	s.removeAccounts(k.view)
+	for pool := range s.poolStats {
 		if k.pools[pool] == nil {
-			delete(s.services, pool)
+			delete(s.poolStats, pool)
 		}
 	}
 }
--- a/bronzesteer/fleet_test.go
+++ b/bronzesteer/fleet_test.go
@@ -68,7 +68,7 @@
 		f := newFleet(t, nodes, liars, servers, rapid.Uint64().Draw(r, "Seed"))
 		lies := func() (reports []Report) {
 			for range f.random.IntN(maxReports) {
-				server := f.sites[0].node.known.Load().members[f.random.IntN(servers)].backend.short
+				server := f.sites[0].node.state.Load().members[f.random.IntN(servers)].backend.shortID
 				first := time.Duration(f.random.IntN(4000)) * time.Millisecond
 				reports = append(reports, Report{
 					Server: server, Node: uint32(nodes - f.random.IntN(liars)), SameZone: true, Openings: 1 + f.random.IntN(9),
--- a/bronzesteer/flow.go
+++ b/bronzesteer/flow.go
@@ -155,7 +155,7 @@
 	if f.askedAt == 0 {
 		return
 	}
-	f.backend.service.noteShown(p.Length == 0)
+	f.backend.stats.recordAck(p.Length == 0)
 	if p.Length == 0 {
 		// With new data the acknowledgement says only that the answer came
 		// some time before.
@@ -180,7 +180,7 @@
 // must not be repeated.
 func (s *Steerer) Sweep(now time.Time) (endings []EndedFlow) {
 	s.init()
-	k := s.known.Load()
+	k := s.state.Load()
 	if k == nil {
 		return nil
 	}
@@ -189,7 +189,7 @@
 	lost := s.silentServers(at)
 	if at-s.loadsAt >= loadsEvery {
 		if !s.unsure.Load() {
-			k.addGone(lost)
+			k.addGoneServers(lost)
 		}
 		s.forgetBlames(at)
 		s.updateLoads(k, at)
@@ -223,8 +223,8 @@
 	return lost
 }
 
-// addGone adds the servers that are no more.
-func (k *known) addGone(lost map[*backend]loss) {
+// addGoneServers adds the servers that are no more.
+func (k *viewState) addGoneServers(lost map[*backend]loss) {
 	for _, m := range k.members {
 		if m.server.Status == bronzeroute.Gone {
 			lost[m.backend] = loss{reason: ServerGone, sure: true}
@@ -245,7 +245,7 @@
 			continue
 		}
 		l, ended := lost[f.backend]
-		if f.reborn(at, now) {
+		if f.endedByRestart(at, now) {
 			l, ended = loss{reason: ServerReborn, sure: true}, true
 		}
 		if ended && f.open && f.mayEnd(l, at) {
@@ -273,7 +273,7 @@
 		return
 	}
 	f.finish()
-	if due && f.backend.service.showsAnswers() {
+	if due && f.backend.stats.acksPromptly() {
 		f.overdue = age
 		f.backend.observeOverdue(age, at)
 	}
--- a/bronzesteer/hedge.go
+++ b/bronzesteer/hedge.go
@@ -129,7 +129,7 @@
 // that came before must have been handled: an answer that waits for a node that is late
 // isn't overdue.
 func (s *Steerer) Hedges(now time.Time) (list []Hedge) {
-	k := s.known.Load()
+	k := s.state.Load()
 	if k == nil {
 		return nil
 	}
@@ -143,7 +143,7 @@
 }
 
 // hedge sends one opening to a further server, if one can take it in time.
-func (s *Steerer) hedge(k *known, o *opening, at time.Duration, now time.Time) (h Hedge, ok bool) {
+func (s *Steerer) hedge(k *viewState, o *opening, at time.Duration, now time.Time) (h Hedge, ok bool) {
 	p := Packet{Key: o.key, Open: true, Bytes: o.bytes}
 	route := k.view.Route(o.key.ServiceAddrPort())
 	sh := s.shard(&p)
@@ -160,8 +160,8 @@
 		return h, false
 	}
 	// A pool that has too much to do isn't given more.
-	takes := time.Duration(next.atWork * float64(next.backend.service.get()))
-	if shedPart(takes, route.Objective) > 0 || !s.hedges.spend() {
+	takes := time.Duration(next.atWork * float64(next.backend.stats.serviceTime()))
+	if shedFraction(takes, route.Objective) > 0 || !s.hedges.spend() {
 		return h, false
 	}
 	f.retry(next, k.view.Token(route.Service, next.server), at)
--- a/bronzesteer/latency.go
+++ b/bronzesteer/latency.go
@@ -68,7 +68,7 @@
 // forgive brings the latency of a server that counts as slow nearer to the usual one, for
 // the time that has passed; the caller holds the lock.
 func (b *backend) forgive(passed time.Duration) {
-	usual := time.Duration(b.service.usual.Load())
+	usual := time.Duration(b.stats.medianLatency.Load())
 	if usual == 0 || b.latency <= usual {
 		return
 	}
@@ -82,10 +82,10 @@
 	if b.latency == 0 {
 		b.latency, b.observedAt = took, at
 	}
-	if b.use(b.latency) < freeUse {
-		b.service.observe(took)
+	if b.use(b.latency) < unqueuedUtilization {
+		b.stats.observe(took)
 	}
-	if usual := time.Duration(b.service.usual.Load()); took < usual/refusedIn && b.use(usual) < freeUse {
+	if usual := time.Duration(b.stats.medianLatency.Load()); took < usual/refusedIn && b.use(usual) < unqueuedUtilization {
 		took = refusedAs * usual
 	}
 	b.average(took, at)
--- a/bronzesteer/load.go
+++ b/bronzesteer/load.go
@@ -92,7 +92,7 @@
 
 // updateLoads lets rates age and adds up what the other nodes told. Where only
 // some of them are heard in time, they stand for all.
-func (s *Steerer) updateLoads(k *known, at time.Duration) {
+func (s *Steerer) updateLoads(k *viewState, at time.Duration) {
 	sums, heard := s.sumLoads(at)
 	scale := 1.0
 	if others := s.others.Load(); heard > 0 && int(others) > heard {
@@ -122,10 +122,10 @@
 }
 
 // updateUsual brings up to date how long the servers of each pool usually take.
-func (s *Steerer) updateUsual(k *known) {
+func (s *Steerer) updateUsual(k *viewState) {
 	for _, p := range k.pools {
 		if len(p.members) > 0 {
-			p.members[0].backend.service.usual.Store(int64(medianLatency(s.drawn(p.members, latencyOf))))
+			p.members[0].backend.stats.medianLatency.Store(int64(medianLatency(s.sampleMembers(p.members, latencySample))))
 		}
 	}
 }
@@ -180,7 +180,7 @@
 }
 
 func (b *backend) addOpening(n int) {
-	b.service.work.Add(int64(n))
+	b.stats.inFlight.Add(int64(n))
 	b.mu.Lock()
 	b.opening += n
 	b.mu.Unlock()
@@ -194,7 +194,7 @@
 
 // begin notes that a request is sent to the server.
 func (b *backend) begin() {
-	b.service.work.Add(1)
+	b.stats.inFlight.Add(1)
 	b.mu.Lock()
 	b.work++
 	b.rate += float64(time.Second) / float64(rateOver)
@@ -203,7 +203,7 @@
 
 // finish notes that a request needs the server no longer.
 func (b *backend) finish() {
-	b.service.work.Add(-1)
+	b.stats.inFlight.Add(-1)
 	b.mu.Lock()
 	b.work--
 	b.mu.Unlock()
--- a/bronzesteer/overload_test.go
+++ b/bronzesteer/overload_test.go
@@ -150,7 +150,7 @@
 // old: if it were too old, callers would be let in and turned away by turns.
 func TestMostAreServedInTimeByALargePool(t *testing.T) {
 	const perZone = 30
-	require.Greater(t, 2*perZone, lookAtAll)
+	require.Greater(t, 2*perZone, maxFullScan)
 	q := newQueueSite(t, perZone)
 	const capacity = 2 * perZone * 2 * float64(time.Second/simWork)
 	q.run(live, 1.3*capacity, 4*time.Second)
--- a/bronzesteer/pause_test.go
+++ b/bronzesteer/pause_test.go
@@ -146,11 +146,11 @@
 	s := newSite(t, servers)
 	s.node.SetPeerCount(294)
 	s.load(8, live)
-	for _, m := range s.node.known.Load().members {
+	for _, m := range s.node.state.Load().members {
 		s.node.MergeReports([]Report{s.found(m.server.Instance, 7, 3, 10*time.Millisecond)}, s.now)
 	}
 	avoided := 0
-	for _, m := range s.node.known.Load().members {
+	for _, m := range s.node.state.Load().members {
 		if s.status(m.server.Instance).Avoided {
 			avoided++
 		}
--- a/bronzesteer/place.go
+++ b/bronzesteer/place.go
@@ -81,7 +81,7 @@
 
 // place chooses the server for a new flow, not the one tried before; the choice
 // has none if there is none. Of a cold server's part it takes what the flow needs.
-func (s *Steerer) place(k *known, route *bronzeroute.Route, p *Packet, tried *backend, at time.Duration, now time.Time) choice {
+func (s *Steerer) place(k *viewState, route *bronzeroute.Route, p *Packet, tried *backend, at time.Duration, now time.Time) choice {
 	for {
 		c := s.prefer(k, route, p, tried, at, now)
 		if c.server == nil || !s.isLimited(c.server, now) || s.takeWarm(c.server, c.backend, at) {
@@ -93,7 +93,7 @@
 
 // prefer returns the best server for a flow. The pool is chosen by the route's weights. If
 // none of its servers can be reached, a pool of the route with a better one is used.
-func (s *Steerer) prefer(k *known, route *bronzeroute.Route, p *Packet, tried *backend, at time.Duration, now time.Time) choice {
+func (s *Steerer) prefer(k *viewState, route *bronzeroute.Route, p *Packet, tried *backend, at time.Duration, now time.Time) choice {
 	pool, ok := route.Pick(p.Key.Hash())
 	if !ok {
 		return choice{}
@@ -120,10 +120,10 @@
 		return choice{}
 	}
 	// Both stay on the stack: an opening allocates nothing here.
-	var candidates [lookAtAll]candidate
-	var drawn [sampleOwn + sampleOthers]member
-	if len(p.members) <= lookAtAll {
-		sum := s.judge(p, at)
+	var candidates [maxFullScan]candidate
+	var drawn [ownZoneSample + otherZonesSample]member
+	if len(p.members) <= maxFullScan {
+		sum := s.newSummary(p, at)
 		list := s.candidates(candidates[:0], p.members, tried, sum, at, now)
 		for i := range list {
 			sum.add(&list[i])
@@ -131,7 +131,7 @@
 		return s.pick(list, sum)
 	}
 	sum := s.summary(p, at, now)
-	c := s.pick(s.candidates(candidates[:0], s.sample(drawn[:0], p), tried, sum, at, now), sum)
+	c := s.pick(s.candidates(candidates[:0], s.samplePool(drawn[:0], p), tried, sum, at, now), sum)
 	if c.tier <= tierAvoided {
 		c = s.pick(s.candidates(candidates[:0], p.members, tried, sum, at, now), sum)
 	}
@@ -154,7 +154,7 @@
 			c = other
 		}
 	}
-	return choice{server: c.server, backend: c.backend, tier: c.tier, atWork: sum.work.perSlot()}
+	return choice{server: c.server, backend: c.backend, tier: c.tier, atWork: sum.inFlight.perSlot()}
 }
 
 // candidates appends those of the members that may take a flow at all.
@@ -200,7 +200,7 @@
 // cross no zone. But callers may be spread over zones otherwise than servers:
 // then as many leave as bring the own zone's servers to the bound.
 func (s *Steerer) leaveZone(sum summary) bool {
-	own, all := sum.own, sum.region
+	own, all := sum.ownZone, sum.region
 	if own.slots == 0 || own.slots == all.slots {
 		return false
 	}
--- a/bronzesteer/place_test.go
+++ b/bronzesteer/place_test.go
@@ -112,7 +112,7 @@
 		s.node.SetLoads(node, []Load{{Server: shortID(server), Rate: 4}}, s.now)
 	}
 	s.pass(50 * time.Millisecond)
-	require.InDelta(t, 40, s.node.known.Load().backendOf(server, nil).others, 0.001)
+	require.InDelta(t, 40, s.node.state.Load().backendOf(server, nil).others, 0.001)
 }
 
 // A node that sends to more servers than it may tell of tells of those that it
@@ -121,7 +121,7 @@
 	s := newSite(t, maxLoads+10)
 	s.pass(loadsEvery)
 	for i, server := range s.node.View().Servers {
-		s.node.known.Load().backendOf(server, nil).rate = 2 * leastRate * float64(i)
+		s.node.state.Load().backendOf(server, nil).rate = 2 * leastRate * float64(i)
 	}
 	require.Empty(t, s.node.Loads(), "before they were brought up to date")
 	s.pass(loadsEvery)
@@ -155,8 +155,8 @@
 // A server works slowly, though it says it is well. Its answers show it.
 func TestSlowServerGetsLess(t *testing.T) {
 	s := newSite(t, 2)
-	slow := s.node.known.Load().backendOf(s.node.View().ByName("a-0"), nil)
-	quick := s.node.known.Load().backendOf(s.node.View().ByName("a-1"), nil)
+	slow := s.node.state.Load().backendOf(s.node.View().ByName("a-0"), nil)
+	quick := s.node.state.Load().backendOf(s.node.View().ByName("a-1"), nil)
 	for range 50 {
 		slow.observe(200*time.Millisecond, time.Minute)
 		quick.observe(20*time.Millisecond, time.Minute)
@@ -206,7 +206,7 @@
 		Pools: []bronzeroute.WeightedPool{{Pool: "archive", Weight: 99}, {Pool: "live", Weight: 1}},
 	}}}, s.now)
 	s.node.SetView(s.directory.View())
-	b := s.node.known.Load().backendOf(s.node.View().ByName("b-0"), nil)
+	b := s.node.state.Load().backendOf(s.node.View().ByName("b-0"), nil)
 	s.node.unanswered(b, s.node.since(s.now), s.node.since(s.now), openingWeight)
 	for range 10 {
 		c, _ := s.open(live)
@@ -237,13 +237,13 @@
 func TestSlowServerIsKnownFromOtherNodes(t *testing.T) {
 	s := newSite(t, 2)
 	s.load(4, live)
-	k := s.node.known.Load()
+	k := s.node.state.Load()
 	slow, quick := k.backendOf(s.node.View().ByName("a-0"), nil), k.backendOf(s.node.View().ByName("a-1"), nil)
 	s.node.SetPeerCount(60)
 	for node := range 20 {
 		s.node.SetLoads(string(rune('A'+node)), []Load{
-			{Server: slow.short, Rate: 0.3, Latency: 300 * time.Millisecond},
-			{Server: quick.short, Rate: 0.3, Latency: 30 * time.Millisecond},
+			{Server: slow.shortID, Rate: 0.3, Latency: 300 * time.Millisecond},
+			{Server: quick.shortID, Rate: 0.3, Latency: 30 * time.Millisecond},
 		}, s.now)
 	}
 	s.pass(loadsEvery)
@@ -291,7 +291,7 @@
 // seem too quick to be more than errors. They are what is usual, all the same.
 func TestQuickServerBesideASlowOneIsNotTakenForAFailingOne(t *testing.T) {
 	s := newSite(t, 2)
-	k := s.node.known.Load()
+	k := s.node.state.Load()
 	slow, quick := k.backendOf(s.node.View().ByName("a-0"), nil), k.backendOf(s.node.View().ByName("a-1"), nil)
 	for i := range 20 {
 		slow.observe(300*time.Millisecond, time.Minute)
@@ -313,9 +313,9 @@
 	s.load(16, live)
 	s.pass(loadsEvery)
 	b := s.node.backend("a-0")
-	usual := time.Duration(b.service.usual.Load())
+	usual := time.Duration(b.stats.medianLatency.Load())
 	require.Equal(t, 50*time.Millisecond, usual)
-	b.others = freeUse * float64(b.slots) / usual.Seconds()
+	b.others = unqueuedUtilization * float64(b.slots) / usual.Seconds()
 	before := b.latency
 	b.observe(3*time.Millisecond, s.node.since(s.now))
 	require.Less(t, b.latency, before)
--- a/bronzesteer/pool_test.go
+++ b/bronzesteer/pool_test.go
@@ -20,12 +20,12 @@
 	s := newSite(t, perZone, perZone, perZone)
 	r := rand.New(rand.NewPCG(1, 2))
 	s.node.Random = r.IntN
-	p := s.node.known.Load().pools["live"]
-	require.Equal(t, perZone, p.own)
+	p := s.node.state.Load().pools["live"]
+	require.Equal(t, perZone, p.ownZoneCount)
 
 	byServer := map[string]int{}
 	for range perZone * each {
-		require.LessOrEqual(t, len(s.node.sample(nil, p)), sampleOwn+sampleOthers)
+		require.LessOrEqual(t, len(s.node.samplePool(nil, p)), ownZoneSample+otherZonesSample)
 		c, _ := s.open(live)
 		c.accept()
 		c.ask()
@@ -64,18 +64,18 @@
 // count at once, so that openings are turned away in time.
 func TestRequestsAtWorkCountAtOnceInALargePool(t *testing.T) {
 	s := newSite(t, 100)
-	p := s.node.known.Load().pools["live"]
+	p := s.node.state.Load().pools["live"]
 	at := s.node.since(s.now)
 	sum := s.node.summary(p, at, s.now)
-	require.Zero(t, sum.work.perSlot())
+	require.Zero(t, sum.inFlight.perSlot())
 	for range 50 {
 		c, _ := s.open(live)
 		c.accept()
 		c.ask()
 	}
-	require.InDelta(t, 50.0/200, sum.work.perSlot(), 1e-9)
-	sum = s.node.summary(p, at+summaryFor, s.now)
-	require.InDelta(t, 50.0/200, sum.work.perSlot(), 1e-9)
+	require.InDelta(t, 50.0/200, sum.inFlight.perSlot(), 1e-9)
+	sum = s.node.summary(p, at+summaryMaxAge, s.now)
+	require.InDelta(t, 50.0/200, sum.inFlight.perSlot(), 1e-9)
 }
 
 // A sample has no server twice, and over time each.
@@ -83,16 +83,16 @@
 	s := newSite(t, 60, 60)
 	r := rand.New(rand.NewPCG(3, 4))
 	s.node.Random = r.IntN
-	p := s.node.known.Load().pools["live"]
+	p := s.node.state.Load().pools["live"]
 	seen := map[string]bool{}
 	for range 200 {
 		var names []string
-		for _, m := range s.node.sample(nil, p) {
+		for _, m := range s.node.samplePool(nil, p) {
 			names = append(names, m.server.Instance)
 			seen[m.server.Instance] = true
 		}
 		slices.Sort(names)
-		require.Len(t, slices.Compact(names), sampleOwn+sampleOthers)
+		require.Len(t, slices.Compact(names), ownZoneSample+otherZonesSample)
 	}
 	require.Len(t, seen, 120)
 }
--- a/bronzesteer/probe.go
+++ b/bronzesteer/probe.go
@@ -47,11 +47,11 @@
 // trial returns the server that an opening is to try, in place of the one that was chosen
 // for it; ok is false if there is none. The opening must be one that can go on to another
 // server soon.
-func (s *Steerer) trial(k *known, chosen choice, p *Packet, now time.Time) (c choice, ok bool) {
+func (s *Steerer) trial(k *viewState, chosen choice, p *Packet, now time.Time) (c choice, ok bool) {
 	if chosen.tier <= tierAvoided || len(p.Bytes) == 0 {
 		return c, false
 	}
-	b := s.takeTrial(chosen.backend.service)
+	b := s.takeTrial(chosen.backend.stats)
 	if b == nil || s.patience(b) > hedgeMost {
 		return c, false
 	}
@@ -63,10 +63,10 @@
 }
 
 // takeTrial takes one of the pool's servers that are to be tried, nil if there is none.
-func (s *Steerer) takeTrial(pool *service) *backend {
+func (s *Steerer) takeTrial(pool *poolStats) *backend {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	i := slices.IndexFunc(s.trials, func(b *backend) bool { return b.service == pool })
+	i := slices.IndexFunc(s.trials, func(b *backend) bool { return b.stats == pool })
 	if i < 0 {
 		return nil
 	}
--- a/bronzesteer/refuse_test.go
+++ b/bronzesteer/refuse_test.go
@@ -105,11 +105,11 @@
 	c.run(5 * time.Second)
 	c.turnedAway, c.forwarded = 0, 0
 	c.run(4 * time.Second)
-	require.Equal(t, 4*freeRate, c.forwarded)
+	require.Equal(t, 4*exemptRate, c.forwarded)
 	require.Equal(t, 400-c.forwarded, c.turnedAway)
 
 	c.healed = true
-	c.run(time.Second / freeRate)
+	c.run(time.Second / exemptRate)
 	c.turnedAway = 0
 	c.run(time.Second)
 	require.Zero(t, c.turnedAway)
--- a/bronzesteer/report.go
+++ b/bronzesteer/report.go
@@ -157,13 +157,13 @@
 	defer b.mu.Unlock()
 	if f, ok := b.own(at, near, s.fit.from()); ok && s.fit.isFit(at) {
 		if later = s.manyNodes() && at-f.first < tellAfter; !later {
-			list = append(list, f.report(b.short, s.Node, at))
+			list = append(list, f.report(b.shortID, s.Node, at))
 			b.told = true
 		}
 	}
 	for node, f := range b.found {
 		if at-f.last < suspicionFor && b.answeredAt() <= f.first {
-			list = append(list, f.report(b.short, node, at))
+			list = append(list, f.report(b.shortID, node, at))
 		}
 	}
 	slices.SortFunc(list, Report.compare)
@@ -171,7 +171,7 @@
 		return list[:min(len(list), toldReporters)], later
 	}
 	list = list[:min(len(list), toldReporters-1)]
-	answer := Report{Server: b.short, Node: s.Node, SameZone: near, Answered: true, Last: at - b.answeredAt()}
+	answer := Report{Server: b.shortID, Node: s.Node, SameZone: near, Answered: true, Last: at - b.answeredAt()}
 	return append(list, answer), later
 }
 
@@ -207,14 +207,14 @@
 // MergeReports takes in what another node tells. What was new in it is then in Reports.
 func (s *Steerer) MergeReports(reports []Report, now time.Time) {
 	s.init()
-	k := s.known.Load()
+	k := s.state.Load()
 	if k == nil || len(reports) == 0 {
 		return
 	}
 	at := s.since(now)
 	for i := range reports {
 		for _, m := range k.members {
-			if m.backend.short == reports[i].Server {
+			if m.backend.shortID == reports[i].Server {
 				s.takeReport(m.backend, &reports[i], len(k.members), at)
 			}
 		}
--- a/bronzesteer/report_test.go
+++ b/bronzesteer/report_test.go
@@ -27,7 +27,7 @@
 // found returns what another node tells of a server.
 func (s *site) found(instance string, node uint32, openings int, first time.Duration) Report {
 	return Report{
-		Server: s.node.backend(instance).short, Node: node, SameZone: true, Openings: openings, Requests: 1, First: first,
+		Server: s.node.backend(instance).shortID, Node: node, SameZone: true, Openings: openings, Requests: 1, First: first,
 	}
 }
 
@@ -47,7 +47,7 @@
 }
 
 func (s *Steerer) backend(instance string) *backend {
-	k := s.known.Load()
+	k := s.state.Load()
 	return k.backendOf(k.view.ByName(instance), nil)
 }
 
@@ -153,7 +153,7 @@
 	s.node.MergeReports([]Report{s.found("a-0", 7, 2, 20*time.Millisecond)}, s.now)
 	s.pass(200 * time.Millisecond)
 	waiting[0].askAgain()
-	answered := Report{Server: s.node.backend("a-0").short, Node: 9, Answered: true, Last: 50 * time.Millisecond}
+	answered := Report{Server: s.node.backend("a-0").shortID, Node: 9, Answered: true, Last: 50 * time.Millisecond}
 	s.node.MergeReports([]Report{answered}, s.now)
 	for range 5 {
 		s.pass(200 * time.Millisecond)
--- a/bronzesteer/status.go
+++ b/bronzesteer/status.go
@@ -25,7 +25,7 @@
 
 // Servers returns what this node believes of all servers, by name.
 func (s *Steerer) Servers(now time.Time) (list []ServerStatus) {
-	k := s.known.Load()
+	k := s.state.Load()
 	if k == nil {
 		return nil
 	}
@@ -48,7 +48,7 @@
 // FlowsInDrainedZones returns how many open flows this node follows at servers of drained
 // zones.
 func (s *Steerer) FlowsInDrainedZones() (n int) {
-	k := s.known.Load()
+	k := s.state.Load()
 	if k == nil {
 		return 0
 	}
--- a/bronzesteer/steer.go
+++ b/bronzesteer/steer.go
@@ -33,7 +33,7 @@
 	// Random returns a number in [0, n); rand.IntN if nil.
 	Random func(n int) int
 
-	known atomic.Pointer[known]
+	state atomic.Pointer[viewState]
 
 	once   sync.Once
 	start  time.Time
@@ -48,17 +48,17 @@
 	// goodAt is when any server was last seen to answer, since start.
 	goodAt atomic.Int64
 
-	mu       sync.Mutex
-	zones    map[string]*zone
-	nodes    map[string]nodeLoads
-	services map[string]*service
-	suspects suspects
+	mu        sync.Mutex
+	zones     map[string]*zone
+	nodes     map[string]nodeLoads
+	poolStats map[string]*poolStats
+	suspects  suspects
 	// blamed are the servers that each other node has found silent of late.
 	blamed   map[uint32]blame
 	trials   trials
 	accounts map[netip.AddrPort]*account
-	// free counts the openings that aren't turned away where others are.
-	free map[netip.AddrPort]*rate.Limiter
+	// exemptLimits counts the openings that aren't turned away where others are.
+	exemptLimits map[netip.AddrPort]*rate.Limiter
 	// own is the node's zone; it is set once.
 	own *zone
 
@@ -112,14 +112,14 @@
 // SetView puts a view in force. Calls must not overlap.
 func (s *Steerer) SetView(v *bronzeroute.View) {
 	s.init()
-	k := s.newKnown(v, s.known.Load())
-	s.forget(k)
-	s.known.Store(k)
+	k := s.newViewState(v, s.state.Load())
+	s.removeUnrouted(k)
+	s.state.Store(k)
 }
 
 // View returns the view in force, nil if there is none.
 func (s *Steerer) View() *bronzeroute.View {
-	if k := s.known.Load(); k != nil {
+	if k := s.state.Load(); k != nil {
 		return k.view
 	}
 	return nil
@@ -130,13 +130,13 @@
 		s.start = time.Now()
 		s.zones = make(map[string]*zone)
 		s.nodes = make(map[string]nodeLoads)
-		s.services = make(map[string]*service)
+		s.poolStats = make(map[string]*poolStats)
 		s.suspects = make(suspects)
 		s.blamed = make(map[uint32]blame)
 		s.accounts = make(map[netip.AddrPort]*account)
-		s.admission.Open = mostFlows(s.Memory)
-		s.admission.HalfOpen = int(halfOpenPart * float64(s.admission.Open))
-		s.free = make(map[netip.AddrPort]*rate.Limiter)
+		s.admission.Open = flowLimit(s.Memory)
+		s.admission.HalfOpen = int(halfOpenFraction * float64(s.admission.Open))
+		s.exemptLimits = make(map[netip.AddrPort]*rate.Limiter)
 		s.own = s.zone(s.AvailabilityZone)
 		for i := range s.shards {
 			s.shards[i].flows = make(map[flowKey]*flow)
@@ -159,7 +159,7 @@
 // Decide returns what to do with a packet that arrived at now.
 func (s *Steerer) Decide(p *Packet, now time.Time) Decision {
 	s.init()
-	k := s.known.Load()
+	k := s.state.Load()
 	switch {
 	case k == nil:
 		return Decision{Kind: Wait, Reason: NoView}
@@ -173,7 +173,7 @@
 }
 
 // open places an opening, or a copy of one.
-func (s *Steerer) open(k *known, p *Packet, now time.Time) Decision {
+func (s *Steerer) open(k *viewState, p *Packet, now time.Time) Decision {
 	v := k.view
 	service := p.Key.ServiceAddrPort()
 	route := v.Route(service)
@@ -190,7 +190,7 @@
 	c := s.place(k, route, p, nil, at, now)
 	server := c.server
 	if server == nil {
-		return s.nobody(k, route, p, now)
+		return s.refuseNoServer(k, route, p, now)
 	}
 	if d, ok := s.refusal(k, route, p, c, now); ok {
 		return d
@@ -216,7 +216,7 @@
 // repeat handles a further opening of a flow that this node has placed. The
 // first server is asked again if it has answered anybody since, because then
 // a packet got lost; otherwise another one is.
-func (s *Steerer) repeat(k *known, route *bronzeroute.Route, f *flow, p *Packet, at time.Duration, now time.Time) Decision {
+func (s *Steerer) repeat(k *viewState, route *bronzeroute.Route, f *flow, p *Packet, at time.Duration, now time.Time) Decision {
 	v := k.view
 	f.seenAt = at
 	server := v.ByName(f.backend.instance)
@@ -283,7 +283,7 @@
 }
 
 // steer sends a packet of an established flow where its token says.
-func (s *Steerer) steer(k *known, p *Packet, now time.Time) Decision {
+func (s *Steerer) steer(k *viewState, p *Packet, now time.Time) Decision {
 	v := k.view
 	service := p.Key.ServiceAddrPort()
 	route := v.Route(service)
@@ -345,7 +345,7 @@
 
 // acceptedToo takes in that a further server has accepted a flow's opening, which shows
 // in the token that the caller sends back: it was late, not silent.
-func (s *Steerer) acceptedToo(k *known, f *flow, p *Packet, at time.Duration) {
+func (s *Steerer) acceptedToo(k *viewState, f *flow, p *Packet, at time.Duration) {
 	if p.Token == f.token || p.Token == 0 {
 		return
 	}
--- a/bronzesteer/steer_test.go
+++ b/bronzesteer/steer_test.go
@@ -238,14 +238,14 @@
 // process would be ended and all its callers' packets lost; forwarded they are all the same.
 func TestFlowsAreBoundedByTheNodesMemory(t *testing.T) {
 	const small = 1 << 20
-	require.Equal(t, maxFlows, mostFlows(0), "the memory isn't told")
-	require.Equal(t, maxFlows, mostFlows(1<<40))
-	require.Less(t, mostFlows(64<<20)*flowBytes, 64<<20/2)
+	require.Equal(t, maxFlows, flowLimit(0), "the memory isn't told")
+	require.Equal(t, maxFlows, flowLimit(1<<40))
+	require.Less(t, flowLimit(64<<20)*flowBytes, 64<<20/2)
 
 	s := newSite(t, 2)
 	s.node = &Steerer{AvailabilityZone: "a", Region: "r", Regions: map[string]string{"a": "r"}, Memory: small}
 	s.node.SetView(s.directory.View())
-	most := mostFlows(small)
+	most := flowLimit(small)
 	for range 2 * most {
 		c, d := s.open(outline)
 		require.Equal(t, Forward, d.Kind)
@@ -262,7 +262,7 @@
 // given back when their callers don't go on.
 func TestHalfOpenFlowsAreBounded(t *testing.T) {
 	s := newSite(t, 2)
-	for range int(halfOpenPart * maxFlows) {
+	for range int(halfOpenFraction * maxFlows) {
 		s.open(live)
 	}
 	_, d := s.open(live)
--- a/bronzesteer/tracking.go
+++ b/bronzesteer/tracking.go
@@ -12,21 +12,21 @@
 	// the memory. Flows beyond are forwarded all the same; what is lost is their part in
 	// judging servers. Each Customer has a fair part of both, so a flood to one doesn't
 	// blind the node for others.
-	maxFlows     = 400_000
-	halfOpenPart = 0.125
-	// flowMemory is the part of a node's memory that flows may take, and flowBytes what
+	maxFlows         = 400_000
+	halfOpenFraction = 0.125
+	// flowMemoryFraction is the part of a node's memory that flows may take, and flowBytes what
 	// one takes. A node whose memory is full is ended, and all its flows are with it.
-	flowMemory = 0.35
-	flowBytes  = 256
+	flowMemoryFraction = 0.35
+	flowBytes          = 256
 )
 
-// mostFlows returns how many flows a node with so many bytes of memory follows; 0 says that
+// flowLimit returns how many flows a node with so many bytes of memory follows; 0 says that
 // the memory isn't known.
-func mostFlows(memory int64) int {
+func flowLimit(memory int64) int {
 	if memory <= 0 {
 		return maxFlows
 	}
-	return int(min(flowMemory*float64(memory)/flowBytes, maxFlows))
+	return int(min(flowMemoryFraction*float64(memory)/flowBytes, maxFlows))
 }
 
 // account is what the flows of one endpoint use of the node.
@@ -52,9 +52,9 @@
 	return a.use
 }
 
-// forgetAccounts drops the accounts of endpoints that have no route; the caller
+// removeAccounts drops the accounts of endpoints that have no route; the caller
 // holds the lock.
-func (s *Steerer) forgetAccounts(v *bronzeroute.View) {
+func (s *Steerer) removeAccounts(v *bronzeroute.View) {
 	for endpoint, a := range s.accounts {
 		if v.Route(endpoint) == nil {
 			s.admission.Remove(&a.service)
--- a/bronzesteer/view_bench_test.go
+++ b/bronzesteer/view_bench_test.go
@@ -76,11 +76,11 @@
 	for _, n := range []int{100, 1000, 2400} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			s := newSite(&testing.T{}, n/2, n/2)
-			p := s.node.known.Load().pools["live"]
+			p := s.node.state.Load().pools["live"]
 			b.ReportAllocs()
 			at := s.node.since(s.now)
 			for b.Loop() {
-				at += summaryFor
+				at += summaryMaxAge
 				s.node.summary(p, at, s.now)
 			}
 		})
--- a/bronzesteer/viewstate_test.go
+++ b/bronzesteer/viewstate_test.go
@@ -43,12 +43,12 @@
 				d.Advance(now)
 			},
 			"": func(t *rapid.T) {
-				former := node.known.Load()
+				former := node.state.Load()
 				node.SetView(d.View())
-				k := node.known.Load()
+				k := node.state.Load()
 				anew := &Steerer{AvailabilityZone: "a"}
 				anew.SetView(k.view)
-				requireAlike(t, anew.known.Load(), k)
+				requireAlike(t, anew.state.Load(), k)
 				for name, z := range node.zones {
 					require.Equal(t, anew.zone(name).servers, z.servers, name)
 				}
@@ -59,7 +59,7 @@
 }
 
 // requireAlike checks that two have the same servers, and the same pools.
-func requireAlike(t require.TestingT, want, got *known) {
+func requireAlike(t require.TestingT, want, got *viewState) {
 	names := func(members []member) (names []string) {
 		for _, m := range members {
 			require.Equal(t, m.server.Instance, m.backend.instance)
@@ -71,13 +71,13 @@
 	require.Len(t, got.pools, len(want.pools))
 	for name, p := range want.pools {
 		require.Equal(t, names(p.members), names(got.pools[name].members))
-		require.Equal(t, p.own, got.pools[name].own)
+		require.Equal(t, p.ownZoneCount, got.pools[name].ownZoneCount)
 	}
 }
 
 // requireKept checks that what was seen of servers is kept, and pools that didn't
 // change.
-func requireKept(t require.TestingT, seen map[string]*backend, former, k *known) {
+func requireKept(t require.TestingT, seen map[string]*backend, former, k *viewState) {
 	for name := range seen {
 		if k.view.ByName(name) == nil {
 			delete(seen, name)
@@ -91,7 +91,7 @@
 		require.Same(t, m.backend, k.backendOf(m.server, nil))
 	}
 	for name, p := range k.pools {
-		if old := former.pools[name]; old != nil && slices.Equal(old.servers, p.servers) && old.is(p.servers) {
+		if old := former.pools[name]; old != nil && slices.Equal(old.servers, p.servers) && old.hasServers(p.servers) {
 			require.Same(t, old, p)
 		}
 	}
