--- a/bronzesteer/avoid.go
+++ b/bronzesteer/avoid.go
@@ -4,7 +4,7 @@
 
 // avoids reports whether new flows keep away from the server.
 func (s *Steerer) avoids(b *backend, at time.Duration) bool {
-	return b.avoided(at) || s.zoneCut(b, at)
+	return b.avoided(at) || s.zoneUnreachable(b, at)
 }
 
 func (b *backend) avoided(at time.Duration) bool {
@@ -16,16 +16,16 @@
 // avoidAsOthersDo keeps new flows away from a server that has left another node's
 // opening unanswered, and reports whether that begins; the caller holds the lock. That
 // takes weak evidence: it costs the server some new flows, and they have others to go to.
-func (b *backend) avoidAsOthersDo(f finding, at time.Duration) (e Event, begins bool) {
-	until := f.last + avoidFirst
+func (b *backend) avoidForPeer(f finding, at time.Duration) (e Event, begins bool) {
+	until := f.last + minAvoidTime
 	if f.openings == 0 || until <= max(at, b.avoidUntil) {
 		return e, false
 	}
 	begins = at >= b.avoidUntil
-	b.avoidFor = max(b.avoidFor, avoidFirst)
+	b.avoidFor = max(b.avoidFor, minAvoidTime)
 	b.avoidUntil = until
 	return Event{
 		Kind: Avoided, Instance: b.instance, AvailabilityZone: b.zoneName,
-		Unanswered: f.openings + f.requests, Silence: at - b.goodAt, AvoidedFor: until - at, Nodes: len(b.found),
+		Unanswered: f.openings + f.requests, Silence: at - b.answeredAt, AvoidedFor: until - at, Nodes: len(b.findings),
 	}, begins
 }
--- a/bronzesteer/backend.go
+++ b/bronzesteer/backend.go
@@ -27,8 +27,8 @@
 	mu sync.Mutex
 	serverLoad
 	responseTime
-	ownEvidence
-	hearsay
+	localEvidence
+	peerEvidence
 	warmup warmup
 }
 
--- a/bronzesteer/evidence.go
+++ b/bronzesteer/evidence.go
@@ -3,19 +3,19 @@
 import "time"
 
 // ownEvidence is what this node has found of a server itself.
-type ownEvidence struct {
+type localEvidence struct {
 	// goodAt is when it was last seen to answer.
-	goodAt time.Duration
+	answeredAt time.Duration
 	// silent is the weight of what it left unanswered since.
-	silent int
+	unansweredWeight int
 	// unanswered is how many flows it left unanswered since, openings how many of them
 	// weren't open.
-	unanswered int
-	openings   int
+	unanswered         int
+	unansweredOpenings int
 	// silentSince is when the first of that was sent, silentAt when the last
 	// was found unanswered.
-	silentSince time.Duration
-	silentAt    time.Duration
+	firstUnanswered time.Duration
+	lastUnanswered  time.Duration
 	// avoidUntil is until when new flows keep away from it, and avoidFor for how long they
 	// were last to.
 	avoidUntil time.Duration
@@ -23,23 +23,23 @@
 }
 
 // hearsay is what other nodes tell of a server.
-type hearsay struct {
+type peerEvidence struct {
 	// found is what they have found of it, by node, and othersGoodAt when it last
 	// answered one of them as far as they tell. suspectedAt is since when this node knows
 	// that anybody found it silent, refutedAt when that was last contradicted.
-	found        map[uint32]finding
-	othersGoodAt time.Duration
-	suspectedAt  time.Duration
+	findings        map[uint32]finding
+	peersAnsweredAt time.Duration
+	suspectedAt     time.Duration
 	// told says that nodes have told each other lately that it doesn't answer, and
 	// disputedAt is when an answer last contradicted one of them.
-	told       bool
+	reported   bool
 	refutedAt  time.Duration
 	disputedAt time.Duration
 }
 
 // finding is what another node has found of a server, in this node's time.
 type finding struct {
-	near        bool
+	sameZone    bool
 	openings    int
 	requests    int
 	first, last time.Duration
@@ -47,20 +47,20 @@
 
 // suspicion is what all nodes together have found of a server since anybody was answered.
 type suspicion struct {
-	nodes    int
-	near     bool
-	openings int
-	all      int
-	first    time.Duration
+	reporters int
+	sameZone  bool
+	openings  int
+	total     int
+	first     time.Duration
 }
 
 // add adds one node's part.
 func (u *suspicion) add(f finding) {
-	u.nodes++
-	u.near = u.near || f.near
+	u.reporters++
+	u.sameZone = u.sameZone || f.sameZone
 	u.openings += f.openings
-	u.all += f.openings + f.requests
-	if u.nodes == 1 || f.first < u.first {
+	u.total += f.openings + f.requests
+	if u.reporters == 1 || f.first < u.first {
 		u.first = f.first
 	}
 }
@@ -69,128 +69,128 @@
 func (b *backend) answeredSince(at time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.goodAt > at
+	return b.answeredAt > at
 }
 
 // good notes that the server answers.
-func (s *Steerer) good(b *backend, at time.Duration) {
+func (s *Steerer) recordAnswer(b *backend, at time.Duration) {
 	b.mu.Lock()
 	avoided := at < b.avoidUntil
-	silence := at - b.goodAt
-	b.goodAt = at
-	contradicts := b.told && (avoided || b.unanswered > 0 || len(b.found) > 0)
-	wrong := b.unanswered > 0 && at-b.silentSince < wrongBy
-	if len(b.found) > 0 {
+	silence := at - b.answeredAt
+	b.answeredAt = at
+	contradicts := b.reported && (avoided || b.unanswered > 0 || len(b.findings) > 0)
+	wrong := b.unanswered > 0 && at-b.firstUnanswered < maxAnswerDelay
+	if len(b.findings) > 0 {
 		b.disputedAt = at
 	}
-	clear(b.found)
+	clear(b.findings)
 	b.clearUnanswered()
 	b.avoidUntil, b.avoidFor = 0, 0
 	b.mu.Unlock()
 	if wrong {
-		s.fit.wasWrong(at)
+		s.health.recordFalseSuspicion(at)
 	}
 	if contradicts {
 		s.suspect(b)
 	}
-	s.goodAt.Store(int64(at))
-	b.zone.good(b, at)
+	s.lastAnswer.Store(int64(at))
+	b.zone.recordAnswer(b, at)
 	if avoided {
-		s.event(Event{Kind: Cleared, Instance: b.instance, AvailabilityZone: b.zoneName, Silence: silence})
+		s.emit(Event{Kind: Cleared, Instance: b.instance, AvailabilityZone: b.zoneName, Silence: silence})
 	}
 }
 
 // asked reports whether the server has left something unanswered lately.
-func (b *backend) asked(at time.Duration) bool {
+func (b *backend) recentlyUnanswered(at time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.unanswered > 0 && at-b.silentAt < silenceCounts
+	return b.unanswered > 0 && at-b.lastUnanswered < silenceMaxAge
 }
 
 // unanswered notes that what was sent to the server at sent has no answer
 // at at. It counts only if nobody else was answered meanwhile: then the server
 // or the way to it is silent, and not just one packet lost.
-func (s *Steerer) unanswered(b *backend, sent, at time.Duration, weight int) {
-	e, counts, begins := b.unansweredAt(sent, at, weight)
+func (s *Steerer) recordUnanswered(b *backend, sent, at time.Duration, weight int) {
+	e, counts, begins := b.addUnanswered(sent, at, weight)
 	if counts {
 		s.suspect(b)
 	}
 	if begins {
-		s.event(e)
+		s.emit(e)
 	}
 }
 
 // unansweredAt notes the same in the server's entry, and reports whether it counts and
 // whether the server begins to be avoided.
-func (b *backend) unansweredAt(sent, at time.Duration, weight int) (e Event, counts, begins bool) {
+func (b *backend) addUnanswered(sent, at time.Duration, weight int) (e Event, counts, begins bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.answeredAt() > sent {
+	if b.lastAnswer() > sent {
 		return e, false, false
 	}
-	if b.unanswered > 0 && at-b.silentAt >= suspicionFor {
+	if b.unanswered > 0 && at-b.lastUnanswered >= suspicionTimeout {
 		b.clearUnanswered()
 	}
-	b.beSuspected(at)
+	b.startSuspicion(at)
 	if b.unanswered == 0 {
-		b.silentSince = sent
+		b.firstUnanswered = sent
 	}
-	b.silentAt = at
-	b.silent += weight
+	b.lastUnanswered = at
+	b.unansweredWeight += weight
 	b.unanswered++
 	if weight == openingWeight {
-		b.openings++
+		b.unansweredOpenings++
 	}
-	if b.silent < avoidAt {
+	if b.unansweredWeight < avoidWeight {
 		return e, true, false
 	}
 	b.zone.addSilent(b, at)
 	if at < b.avoidUntil {
 		return e, true, false
 	}
-	b.avoidFor = min(max(2*b.avoidFor, avoidFirst), avoidMost)
+	b.avoidFor = min(max(2*b.avoidFor, minAvoidTime), maxAvoidTime)
 	b.avoidUntil = at + b.avoidFor
 	return Event{
 		Kind: Avoided, Instance: b.instance, AvailabilityZone: b.zoneName,
-		Unanswered: b.unanswered, Silence: at - b.goodAt, AvoidedFor: b.avoidFor,
+		Unanswered: b.unanswered, Silence: at - b.answeredAt, AvoidedFor: b.avoidFor,
 	}, true, true
 }
 
 // clearUnanswered forgets what this node's flows left unanswered.
-func (e *ownEvidence) clearUnanswered() {
-	e.silent, e.unanswered, e.openings, e.silentSince = 0, 0, 0, 0
+func (e *localEvidence) clearUnanswered() {
+	e.unansweredWeight, e.unanswered, e.unansweredOpenings, e.firstUnanswered = 0, 0, 0, 0
 }
 
 // beSuspected notes that something is found at at, unless something was before; the
 // caller holds the lock.
-func (b *backend) beSuspected(at time.Duration) {
-	if b.unanswered == 0 && len(b.found) == 0 {
+func (b *backend) startSuspicion(at time.Duration) {
+	if b.unanswered == 0 && len(b.findings) == 0 {
 		b.suspectedAt = at
 	}
 }
 
 // answeredAt returns when any node was last seen to be answered; the caller holds the
 // lock.
-func (b *backend) answeredAt() time.Duration { return max(b.goodAt, b.othersGoodAt) }
+func (b *backend) lastAnswer() time.Duration { return max(b.answeredAt, b.peersAnsweredAt) }
 
 // own returns what this node itself has found since from; the caller holds the lock.
-func (b *backend) own(at time.Duration, near bool, from time.Duration) (f finding, ok bool) {
-	if b.unanswered == 0 || at-b.silentAt >= suspicionFor || b.answeredAt() > b.silentSince || b.silentSince < from {
+func (b *backend) ownFinding(at time.Duration, near bool, from time.Duration) (f finding, ok bool) {
+	if b.unanswered == 0 || at-b.lastUnanswered >= suspicionTimeout || b.lastAnswer() > b.firstUnanswered || b.firstUnanswered < from {
 		return f, false
 	}
 	return finding{
-		near: near, openings: b.openings, requests: b.unanswered - b.openings, first: b.silentSince, last: b.silentAt,
+		sameZone: near, openings: b.unansweredOpenings, requests: b.unanswered - b.unansweredOpenings, first: b.firstUnanswered, last: b.lastUnanswered,
 	}, true
 }
 
 // suspicion returns what all nodes together have found; the caller holds the lock.
 func (b *backend) suspicion(at time.Duration, near bool, from time.Duration) (u suspicion) {
-	if f, ok := b.own(at, near, from); ok {
+	if f, ok := b.ownFinding(at, near, from); ok {
 		u.add(f)
 	}
-	for node, f := range b.found {
-		if at-f.last >= suspicionFor || b.answeredAt() > f.first {
-			delete(b.found, node)
+	for node, f := range b.findings {
+		if at-f.last >= suspicionTimeout || b.lastAnswer() > f.first {
+			delete(b.findings, node)
 			continue
 		}
 		u.add(f)
@@ -200,33 +200,33 @@
 
 // foundByOther takes in that another node has found a server silent, and reports whether
 // others are to be told: of that, or that it isn't so.
-func (s *Steerer) foundByOther(b *backend, r *Report, at time.Duration) (news bool) {
-	f := finding{near: r.SameZone, openings: r.Openings, requests: r.Requests, first: at - r.First, last: at - r.Last}
+func (s *Steerer) mergeFinding(b *backend, r *Report, at time.Duration) (news bool) {
+	f := finding{sameZone: r.SameZone, openings: r.Openings, requests: r.Requests, first: at - r.First, last: at - r.Last}
 	b.mu.Lock()
-	before, known := b.found[r.Node]
-	b.told = true
+	before, known := b.findings[r.Node]
+	b.reported = true
 	switch {
-	case b.answeredAt() > f.first:
+	case b.lastAnswer() > f.first:
 		b.disputedAt = at
-		news = b.refutedAt == 0 || at-b.refutedAt >= refuteEvery
+		news = b.refutedAt == 0 || at-b.refutedAt >= refuteInterval
 		if news {
 			b.refutedAt = at
 		}
 		b.mu.Unlock()
 		return news
-	case known && before.openings >= f.openings && before.requests >= f.requests, !known && len(b.found) >= maxReporters:
+	case known && before.openings >= f.openings && before.requests >= f.requests, !known && len(b.findings) >= maxReporters:
 		b.mu.Unlock()
 		return false
 	}
-	if b.found == nil {
-		b.found = make(map[uint32]finding)
+	if b.findings == nil {
+		b.findings = make(map[uint32]finding)
 	}
-	b.beSuspected(at)
-	b.found[r.Node] = f
-	e, begins := b.avoidAsOthersDo(f, at)
+	b.startSuspicion(at)
+	b.findings[r.Node] = f
+	e, begins := b.avoidForPeer(f, at)
 	b.mu.Unlock()
 	if begins {
-		s.event(e)
+		s.emit(e)
 	}
 	return true
 }
@@ -235,31 +235,31 @@
 // whether that contradicts what is known here. What is then still said against it has to
 // wait for further answers as if it was new: while some nodes keep finding a server silent,
 // one that answers others is never without a finding that no answer has contradicted yet.
-func (s *Steerer) answeredOther(b *backend, goodAt, at time.Duration) (news bool) {
+func (s *Steerer) mergeAnswer(b *backend, goodAt, at time.Duration) (news bool) {
 	b.mu.Lock()
-	if goodAt <= b.answeredAt() {
+	if goodAt <= b.lastAnswer() {
 		b.mu.Unlock()
 		return false
 	}
-	b.othersGoodAt = goodAt
-	news = len(b.found) > 0 || b.unanswered > 0
-	for node, f := range b.found {
+	b.peersAnsweredAt = goodAt
+	news = len(b.findings) > 0 || b.unanswered > 0
+	for node, f := range b.findings {
 		if goodAt > f.first {
-			delete(b.found, node)
+			delete(b.findings, node)
 			b.disputedAt, b.suspectedAt = at, at
 		}
 	}
-	if goodAt > b.silentSince {
+	if goodAt > b.firstUnanswered {
 		b.clearUnanswered()
 	}
-	cleared := news && len(b.found) == 0 && b.unanswered == 0 && b.avoidUntil > 0
+	cleared := news && len(b.findings) == 0 && b.unanswered == 0 && b.avoidUntil > 0
 	if cleared {
 		b.avoidUntil, b.avoidFor = 0, 0
 	}
-	silence := goodAt - b.goodAt
+	silence := goodAt - b.answeredAt
 	b.mu.Unlock()
 	if cleared {
-		s.event(Event{Kind: Cleared, Instance: b.instance, AvailabilityZone: b.zoneName, Silence: silence})
+		s.emit(Event{Kind: Cleared, Instance: b.instance, AvailabilityZone: b.zoneName, Silence: silence})
 	}
 	return news
 }
--- a/bronzesteer/failure_test.go
+++ b/bronzesteer/failure_test.go
@@ -47,12 +47,12 @@
 	s := newSite(t, 4)
 	clients := s.load(16, live)
 	stuck, others := atFirst(clients)
-	require.GreaterOrEqual(t, len(stuck), silentFlows)
+	require.GreaterOrEqual(t, len(stuck), minFailedFlows)
 	s.fallSilent(stuck, others)
-	for _, c := range stuck[:silentFlows-1] {
+	for _, c := range stuck[:minFailedFlows-1] {
 		require.Equal(t, Forward, c.askAgain().Kind, "one silence proves nothing")
 	}
-	require.Equal(t, End, stuck[silentFlows-1].askAgain().Kind)
+	require.Equal(t, End, stuck[minFailedFlows-1].askAgain().Kind)
 	s.pass(200 * time.Millisecond)
 	s.round(others)
 	d := stuck[0].askAgain()
--- a/bronzesteer/fleet_test.go
+++ b/bronzesteer/fleet_test.go
@@ -49,7 +49,7 @@
 		if i >= len(f.sites)-f.liars {
 			reports = lies()
 		}
-		for range newsFanout {
+		for range gossipFanout {
 			to := f.sites[f.random.IntN(len(f.sites))]
 			to.node.MergeReports(reports, to.now)
 		}
@@ -62,7 +62,7 @@
 // they say may keep some new flows away from it.
 func TestWhatAMinoritySaysEndsNoFlows(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		nodes := rapid.IntRange(fewNodes+2, 24).Draw(r, "Nodes")
+		nodes := rapid.IntRange(smallFleetPeers+2, 24).Draw(r, "Nodes")
 		liars := rapid.IntRange(1, (nodes-1)/2).Draw(r, "Liars")
 		servers := rapid.IntRange(2, 4).Draw(r, "Servers")
 		f := newFleet(t, nodes, liars, servers, rapid.Uint64().Draw(r, "Seed"))
--- a/bronzesteer/flow.go
+++ b/bronzesteer/flow.go
@@ -130,11 +130,11 @@
 		}
 		return
 	}
-	if f.askedAt != 0 && at-f.askedAt >= repeatAfter && !f.struck {
+	if f.askedAt != 0 && at-f.askedAt >= minRetransmitAge && !f.struck {
 		f.struck = true
 		// It takes at least this long, which the answer would show only later.
 		f.backend.observe(at-f.askedAt, at)
-		s.unanswered(f.backend, f.askedAt, at, dataWeight)
+		s.recordUnanswered(f.backend, f.askedAt, at, dataWeight)
 	}
 }
 
@@ -145,13 +145,13 @@
 	f.open, f.backend, f.token = true, b, token
 	f.sequence, f.acknowledged = p.Sequence, p.Acknowledged
 	b.addFlows(1)
-	s.good(b, at)
+	s.recordAnswer(b, at)
 }
 
 // answered notes that the caller has more of the answer.
 func (s *Steerer) answered(f *flow, p *Packet, at time.Duration) {
 	f.struck = false
-	s.good(f.backend, at)
+	s.recordAnswer(f.backend, at)
 	if f.askedAt == 0 {
 		return
 	}
@@ -188,10 +188,10 @@
 	s.renewNews()
 	lost := s.silentServers(at)
 	if at-s.loadsAt >= loadsEvery {
-		if !s.unsure.Load() {
+		if !s.recordsUnconfirmed.Load() {
 			k.addGoneServers(lost)
 		}
-		s.forgetBlames(at)
+		s.expireReported(at)
 		s.updateLoads(k, at)
 	}
 	for i := range s.shards {
@@ -210,14 +210,14 @@
 // silentServers returns the servers that answer nobody.
 func (s *Steerer) silentServers(at time.Duration) (lost map[*backend]loss) {
 	lost = make(map[*backend]loss)
-	if !s.judges(at) {
+	if !s.canJudge(at) {
 		return lost
 	}
 	suspects := s.toTell(true)
 	s.findTrials(suspects, at)
 	for _, b := range suspects {
-		if s.dead(b, true, at) {
-			lost[b] = loss{reason: ServerSilent, sure: s.dead(b, false, at)}
+		if s.failed(b, true, at) {
+			lost[b] = loss{reason: ServerSilent, sure: s.failed(b, false, at)}
 		}
 	}
 	return lost
--- a/bronzesteer/hedge.go
+++ b/bronzesteer/hedge.go
@@ -154,7 +154,7 @@
 		return h, false
 	}
 	asked := f.backend
-	s.unanswered(asked, f.sentAt(f.openedAt), at, openingWeight)
+	s.recordUnanswered(asked, f.sentAt(f.openedAt), at, openingWeight)
 	next := s.place(k, route, &p, asked, at, now)
 	if next.server == nil || next.tier <= tierAvoided {
 		return h, false
@@ -197,7 +197,7 @@
 	}
 	f.dropOpening()
 	if b == o.first {
-		b.zone.observe(at - f.openedAt)
+		b.zone.observeHandshake(at - f.openedAt)
 	}
 	switch {
 	case o.hedges == 0:
@@ -214,22 +214,22 @@
 	z := b.zone
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	if z.handshake == 0 {
+	if z.handshakeTime == 0 {
 		return hedgeUnknown
 	}
-	return max(z.handshake+hedgeDeviations*z.deviation, hedgeLeast)
+	return max(z.handshakeTime+hedgeDeviations*z.deviation, hedgeLeast)
 }
 
 // observe takes in how long an opening at a server of the zone took.
-func (z *zone) observe(took time.Duration) {
+func (z *zone) observeHandshake(took time.Duration) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	if z.handshake == 0 {
-		z.handshake, z.deviation = took, took/2
+	if z.handshakeTime == 0 {
+		z.handshakeTime, z.deviation = took, took/2
 		return
 	}
-	off := took - z.handshake
-	z.handshake += time.Duration(handshakePart * float64(off))
+	off := took - z.handshakeTime
+	z.handshakeTime += time.Duration(handshakePart * float64(off))
 	change := max(off, -off) - z.deviation
 	part := deviationFalls
 	if change > 0 {
--- a/bronzesteer/load.go
+++ b/bronzesteer/load.go
@@ -87,7 +87,7 @@
 
 // SetPeerCount tells how many nodes there are beside this one.
 func (s *Steerer) SetPeerCount(others int) {
-	s.others.Store(int64(others))
+	s.peers.Store(int64(others))
 }
 
 // updateLoads lets rates age and adds up what the other nodes told. Where only
@@ -95,7 +95,7 @@
 func (s *Steerer) updateLoads(k *viewState, at time.Duration) {
 	sums, heard := s.sumLoads(at)
 	scale := 1.0
-	if others := s.others.Load(); heard > 0 && int(others) > heard {
+	if others := s.peers.Load(); heard > 0 && int(others) > heard {
 		scale = float64(others) / float64(heard)
 	}
 	passed := at - s.loadsAt
--- a/bronzesteer/localhealth.go
+++ b/bronzesteer/localhealth.go
@@ -10,58 +10,58 @@
 // late both ways, and servers that are well seem silent until their answers come. A node
 // with 10 Mbit/s takes 65 ms for each upload of 80 KB: it reset callers' idle flows at a
 // server that other nodes had answers from. All methods may be called concurrently.
-type fitness struct {
+type localHealth struct {
 	mu sync.Mutex
 	// wrong is when the last servers answered that had been found silent just before.
-	wrong [wrongMost]time.Duration
+	falseSuspicions [falseSuspicionLimit]time.Duration
 	// lateUntil is until when packets count as having waited here, and restedAt when the
 	// node has seen enough again after it stood still.
-	lateUntil time.Duration
-	restedAt  time.Duration
+	delayedUntil   time.Duration
+	suspendedUntil time.Duration
 }
 
 const (
 	// wrongMost is how many servers may have been found silent wrongly in wrongFor, and
 	// wrongBy how soon their answers come that are only late. One packet in forty may be
 	// lost now and then, and servers that have crashed are back after seconds.
-	wrongMost = 2
-	wrongFor  = 2 * time.Second
-	wrongBy   = 800 * time.Millisecond
+	falseSuspicionLimit = 2
+	unhealthyTime       = 2 * time.Second
+	maxAnswerDelay      = 800 * time.Millisecond
 )
 
 // isFit reports whether the node's findings are to be believed.
-func (f *fitness) isFit(at time.Duration) bool {
+func (f *localHealth) isHealthy(at time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	oldest := f.wrong[0]
-	return (oldest == 0 || at-oldest >= wrongFor) && at >= f.lateUntil && at >= f.restedAt
+	oldest := f.falseSuspicions[0]
+	return (oldest == 0 || at-oldest >= unhealthyTime) && at >= f.delayedUntil && at >= f.suspendedUntil
 }
 
 // wasWrong notes that a server has answered that was found silent.
-func (f *fitness) wasWrong(at time.Duration) {
+func (f *localHealth) recordFalseSuspicion(at time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	copy(f.wrong[:], f.wrong[1:])
-	f.wrong[wrongMost-1] = at
+	copy(f.falseSuspicions[:], f.falseSuspicions[1:])
+	f.falseSuspicions[falseSuspicionLimit-1] = at
 }
 
 // wasLate notes that packets have waited in this node.
-func (f *fitness) wasLate(at time.Duration) {
+func (f *localHealth) recordDelay(at time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.lateUntil = at + wrongFor
+	f.delayedUntil = at + unhealthyTime
 }
 
 // rest has the node judge nothing until it has run for settling.
-func (f *fitness) rest(at time.Duration) {
+func (f *localHealth) suspend(at time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.restedAt = at + settling
+	f.suspendedUntil = at + settleTime
 }
 
 // from returns since when what the node finds counts.
-func (f *fitness) from() time.Duration {
+func (f *localHealth) validFrom() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.restedAt
+	return f.suspendedUntil
 }
--- a/bronzesteer/pause.go
+++ b/bronzesteer/pause.go
@@ -23,8 +23,8 @@
 func (s *Steerer) Paused(now time.Time) (aside Discarded) {
 	s.init()
 	at := s.since(now)
-	s.fit.rest(at)
-	s.unsure.Store(true)
+	s.health.suspend(at)
+	s.recordsUnconfirmed.Store(true)
 	s.hedges.clear()
 	for i := range s.shards {
 		s.shards[i].pause(&aside, at)
@@ -34,7 +34,7 @@
 }
 
 // RecordsConfirmed notes that the records in force are known to be the newest since Paused.
-func (s *Steerer) RecordsConfirmed() { s.unsure.Store(false) }
+func (s *Steerer) RecordsConfirmed() { s.recordsUnconfirmed.Store(false) }
 
 // pause forgets what the shard's flows wait for. Openings are kept: their callers may go
 // on with the server that was asked.
@@ -76,7 +76,7 @@
 	s.mu.Lock()
 	suspects := s.suspects
 	s.suspects = make(map[*backend]bool)
-	clear(s.blamed)
+	clear(s.reportedBy)
 	zones := make([]*zone, 0, len(s.zones))
 	for _, z := range s.zones {
 		zones = append(zones, z)
@@ -89,8 +89,8 @@
 	}
 	for _, z := range zones {
 		z.mu.Lock()
-		clear(z.silent)
-		clear(z.quiet)
+		clear(z.silentSinceAnswer)
+		clear(z.silentNow)
 		z.mu.Unlock()
 	}
 	return n
@@ -101,9 +101,9 @@
 func (b *backend) forgetFindings() (had bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	had = b.unanswered > 0 || len(b.found) > 0
-	clear(b.found)
+	had = b.unanswered > 0 || len(b.findings) > 0
+	clear(b.findings)
 	b.clearUnanswered()
-	b.told = false
+	b.reported = false
 	return had
 }
--- a/bronzesteer/pause_test.go
+++ b/bronzesteer/pause_test.go
@@ -63,12 +63,12 @@
 	s.sleep(5 * time.Second)
 	s.open(live)
 	s.wait()
-	s.pass(settling)
+	s.pass(settleTime)
 	s.node.Hedges(s.now)
 	require.Empty(t, s.told(), "what it saw while it woke doesn't count")
 	s.open(live)
 	s.wait()
-	s.pass(2 * tellAfter)
+	s.pass(2 * reportDelay)
 	require.NotEmpty(t, s.told())
 }
 
@@ -164,10 +164,10 @@
 func TestWaitsForNewsFollowFromTheFleetsSize(t *testing.T) {
 	var s Steerer
 	for others, want := range map[int]time.Duration{
-		0: 0, fewNodes: 0, 19: 800, 65: 800, 77: 800, 294: 1000, 489: 1000, 1100: 1200,
+		0: 0, smallFleetPeers: 0, 19: 800, 65: 800, 77: 800, 294: 1000, 489: 1000, 1100: 1200,
 	} {
 		s.SetPeerCount(others)
-		require.Equal(t, want*time.Millisecond, s.newsTakes(false), others)
-		require.Equal(t, want*time.Millisecond/2, s.newsTakes(true), others)
+		require.Equal(t, want*time.Millisecond, s.propagationTime(false), others)
+		require.Equal(t, want*time.Millisecond/2, s.propagationTime(true), others)
 	}
 }
--- a/bronzesteer/place_test.go
+++ b/bronzesteer/place_test.go
@@ -207,7 +207,7 @@
 	}}}, s.now)
 	s.node.SetView(s.directory.View())
 	b := s.node.state.Load().backendOf(s.node.View().ByName("b-0"), nil)
-	s.node.unanswered(b, s.node.since(s.now), s.node.since(s.now), openingWeight)
+	s.node.recordUnanswered(b, s.node.since(s.now), s.node.since(s.now), openingWeight)
 	for range 10 {
 		c, _ := s.open(live)
 		require.Equal(t, "a", c.server.AvailabilityZone)
--- a/bronzesteer/probe.go
+++ b/bronzesteer/probe.go
@@ -37,10 +37,10 @@
 func (s *Steerer) wantsTrial(b *backend, at time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if f, asked := b.own(at, false, s.fit.from()); asked && f.openings >= trialsMost {
+	if f, asked := b.ownFinding(at, false, s.health.validFrom()); asked && f.openings >= trialsMost {
 		return false
 	}
-	u := b.suspicion(at, false, s.fit.from())
+	u := b.suspicion(at, false, s.health.validFrom())
 	return b.flows > 0 && b.opening == 0 && u.openings > 0
 }
 
--- a/bronzesteer/refuse.go
+++ b/bronzesteer/refuse.go
@@ -82,7 +82,7 @@
 			continue
 		}
 		for _, m := range k.membersOf(share.Pool) {
-			if m.server.Status != bronzeroute.Draining && !s.answersNobody(m.backend, at) {
+			if m.server.Status != bronzeroute.Draining && !s.unavailable(m.backend, at) {
 				return false
 			}
 		}
--- a/bronzesteer/report.go
+++ b/bronzesteer/report.go
@@ -144,7 +144,7 @@
 	s.mu.Unlock()
 	for _, b := range over {
 		b.mu.Lock()
-		b.told = false
+		b.reported = false
 		b.mu.Unlock()
 	}
 }
@@ -155,14 +155,14 @@
 	near := b.zoneName == s.AvailabilityZone
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if f, ok := b.own(at, near, s.fit.from()); ok && s.fit.isFit(at) {
-		if later = s.manyNodes() && at-f.first < tellAfter; !later {
+	if f, ok := b.ownFinding(at, near, s.health.validFrom()); ok && s.health.isHealthy(at) {
+		if later = s.isLargeFleet() && at-f.first < reportDelay; !later {
 			list = append(list, f.report(b.shortID, s.Node, at))
-			b.told = true
+			b.reported = true
 		}
 	}
-	for node, f := range b.found {
-		if at-f.last < suspicionFor && b.answeredAt() <= f.first {
+	for node, f := range b.findings {
+		if at-f.last < suspicionTimeout && b.lastAnswer() <= f.first {
 			list = append(list, f.report(b.shortID, node, at))
 		}
 	}
@@ -171,7 +171,7 @@
 		return list[:min(len(list), toldReporters)], later
 	}
 	list = list[:min(len(list), toldReporters-1)]
-	answer := Report{Server: b.shortID, Node: s.Node, SameZone: near, Answered: true, Last: at - b.answeredAt()}
+	answer := Report{Server: b.shortID, Node: s.Node, SameZone: near, Answered: true, Last: at - b.lastAnswer()}
 	return append(list, answer), later
 }
 
@@ -179,10 +179,10 @@
 // was said lately that it doesn't, and beside findings that are newer than its answer only
 // if that contradicts others. The caller holds the lock.
 func (b *backend) tellsAnswer(found bool, at time.Duration) bool {
-	if !b.told || b.answeredAt() == 0 || at-b.answeredAt() >= suspicionFor {
+	if !b.reported || b.lastAnswer() == 0 || at-b.lastAnswer() >= suspicionTimeout {
 		return false
 	}
-	return !found || b.disputedAt > 0 && at-b.disputedAt < suspicionFor
+	return !found || b.disputedAt > 0 && at-b.disputedAt < suspicionTimeout
 }
 
 // compare orders reports by what they are worth to others: those from the server's zone
@@ -199,7 +199,7 @@
 
 func (f finding) report(server, node uint32, at time.Duration) Report {
 	return Report{
-		Server: server, Node: node, SameZone: f.near, Openings: f.openings, Requests: f.requests,
+		Server: server, Node: node, SameZone: f.sameZone, Openings: f.openings, Requests: f.requests,
 		First: at - f.first, Last: at - f.last,
 	}
 }
@@ -223,15 +223,15 @@
 
 // takeReport takes in one report; servers is how many there are.
 func (s *Steerer) takeReport(b *backend, r *Report, servers int, at time.Duration) {
-	if r.Node == s.Node || r.Last < 0 || r.Last >= suspicionFor {
+	if r.Node == s.Node || r.Last < 0 || r.Last >= suspicionTimeout {
 		return
 	}
 	news := false
 	switch {
 	case r.Answered:
-		news = s.answeredOther(b, at-r.Last, at)
-	case s.mayBlame(r.Node, r.Server, servers, at):
-		news = s.foundByOther(b, r, at)
+		news = s.mergeAnswer(b, at-r.Last, at)
+	case s.acceptFinding(r.Node, r.Server, servers, at):
+		news = s.mergeFinding(b, r, at)
 	}
 	if news {
 		s.suspect(b)
--- a/bronzesteer/report_test.go
+++ b/bronzesteer/report_test.go
@@ -86,7 +86,7 @@
 	s := newSite(t, 4)
 	idle, _ := atFirst(s.load(16, outline))
 	require.NotEmpty(t, idle)
-	for range wrongMost {
+	for range falseSuspicionLimit {
 		late := s.overdue("a-1")
 		s.pass(200 * time.Millisecond)
 		late.repeat()
@@ -204,7 +204,7 @@
 			require.LessOrEqual(t, len(s.node.Reports(true, s.now)), toldReporters)
 			s.pass(time.Duration(rapid.IntRange(0, 100).Draw(r, "MS")) * time.Millisecond)
 		}
-		s.pass(suspicionFor + time.Second)
+		s.pass(suspicionTimeout + time.Second)
 		require.Empty(t, s.node.Reports(true, s.now))
 	})
 }
--- a/bronzesteer/shed.go
+++ b/bronzesteer/shed.go
@@ -101,7 +101,7 @@
 
 // newPoolInFlight returns a count of what is at work at servers of a service.
 func (s *Steerer) newPoolInFlight(of *poolStats) poolInFlight {
-	return poolInFlight{stats: of, nodes: float64(s.others.Load() + 1), counted: of.inFlight.Load()}
+	return poolInFlight{stats: of, nodes: float64(s.peers.Load() + 1), counted: of.inFlight.Load()}
 }
 
 // add counts a candidate.
--- a/bronzesteer/status.go
+++ b/bronzesteer/status.go
@@ -34,7 +34,7 @@
 		server, b := m.server, m.backend
 		status := ServerStatus{
 			Instance: server.Instance, Pool: server.Pool, AvailabilityZone: server.AvailabilityZone,
-			Status: server.Status.String(), Avoided: s.avoids(b, at), Silent: s.silent(b, false, at),
+			Status: server.Status.String(), Avoided: s.avoids(b, at), Silent: s.unresponsive(b, false, at),
 		}
 		b.mu.Lock()
 		status.Flows, status.Work, status.Openings = b.flows, b.work, b.opening
--- a/bronzesteer/steer.go
+++ b/bronzesteer/steer.go
@@ -41,12 +41,12 @@
 
 	admission bronzepool.Admission
 	hedges    hedges
-	fit       fitness
+	health    localHealth
 	// unsure says that the node stood still and its records weren't confirmed since.
-	unsure atomic.Bool
+	recordsUnconfirmed atomic.Bool
 
 	// goodAt is when any server was last seen to answer, since start.
-	goodAt atomic.Int64
+	lastAnswer atomic.Int64
 
 	mu        sync.Mutex
 	zones     map[string]*zone
@@ -54,20 +54,20 @@
 	poolStats map[string]*poolStats
 	suspects  suspects
 	// blamed are the servers that each other node has found silent of late.
-	blamed   map[uint32]blame
-	trials   trials
-	accounts map[netip.AddrPort]*account
+	reportedBy map[uint32]reportedServers
+	trials     trials
+	accounts   map[netip.AddrPort]*account
 	// exemptLimits counts the openings that aren't turned away where others are.
 	exemptLimits map[netip.AddrPort]*rate.Limiter
 	// own is the node's zone; it is set once.
-	own *zone
+	ownZone *zone
 
 	// news says that there is something for Reports to tell that was not taken yet.
 	news atomic.Bool
 
 	// others is how many nodes there are beside this one.
-	others atomic.Int64
-	near   nearNodes
+	peers atomic.Int64
+	near  nearNodes
 	// told is what other nodes are told of this one's loads.
 	told atomic.Pointer[[]Load]
 	// loadsAt is when loads were last brought up to date; Sweep alone uses it.
@@ -132,12 +132,12 @@
 		s.nodes = make(map[string]nodeLoads)
 		s.poolStats = make(map[string]*poolStats)
 		s.suspects = make(suspects)
-		s.blamed = make(map[uint32]blame)
+		s.reportedBy = make(map[uint32]reportedServers)
 		s.accounts = make(map[netip.AddrPort]*account)
 		s.admission.Open = flowLimit(s.Memory)
 		s.admission.HalfOpen = int(halfOpenFraction * float64(s.admission.Open))
 		s.exemptLimits = make(map[netip.AddrPort]*rate.Limiter)
-		s.own = s.zone(s.AvailabilityZone)
+		s.ownZone = s.zone(s.AvailabilityZone)
 		for i := range s.shards {
 			s.shards[i].flows = make(map[flowKey]*flow)
 		}
@@ -232,7 +232,7 @@
 	if server != nil && server.Status == bronzeroute.Serving && f.backend.answeredSince(f.sentAt(f.openedAt)) {
 		return s.again(server, f, at, now)
 	}
-	s.unanswered(f.backend, f.sentAt(f.openedAt), at, openingWeight)
+	s.recordUnanswered(f.backend, f.sentAt(f.openedAt), at, openingWeight)
 	next := s.place(k, route, p, f.backend, at, now)
 	if next.server == nil {
 		if server == nil || server.Status == bronzeroute.Gone {
@@ -263,11 +263,11 @@
 // callers have long gone elsewhere: none of the servers that these are sent to is ever
 // gone on with, and all would be taken for silent.
 func (s *Steerer) cameTogether(f *flow, p *Packet, at time.Duration) bool {
-	if at-f.openedAt >= copiesApart {
+	if at-f.openedAt >= minRetransmitGap {
 		return false
 	}
 	if p.Retransmits > 0 {
-		s.fit.wasLate(at)
+		s.health.recordDelay(at)
 		f.dropOpening()
 	}
 	return true
@@ -276,7 +276,7 @@
 // byRecords returns the decision to refuse a packet for what records say, or to drop it
 // while they are in doubt.
 func (s *Steerer) byRecords(d Decision) Decision {
-	if s.unsure.Load() {
+	if s.recordsUnconfirmed.Load() {
 		return Decision{Reason: Unsure}
 	}
 	return d
@@ -313,7 +313,7 @@
 	switch {
 	case server == nil:
 		return Decision{Reason: TokenUnknown}
-	case server.Status == bronzeroute.Gone && s.unsure.Load():
+	case server.Status == bronzeroute.Gone && s.recordsUnconfirmed.Load():
 		return Decision{Reason: Unsure}
 	case server.Status == bronzeroute.Gone:
 		sh.end(p.Key)
@@ -333,7 +333,7 @@
 		hedge = f.settle(b, at)
 	}
 	s.note(f, b, token, p, at)
-	if f.idempotent && p.Length > 0 && s.silent(b, f.struck, at) {
+	if f.idempotent && p.Length > 0 && s.unresponsive(b, f.struck, at) {
 		sh.end(p.Key)
 		return Decision{Kind: End, Reason: ServerSilent, Tried: server}
 	}
@@ -354,7 +354,7 @@
 		return
 	}
 	if b := k.backendOf(other, nil); b != f.backend && !b.answeredSince(f.openedAt) {
-		s.good(b, at)
+		s.recordAnswer(b, at)
 	}
 }
 
--- a/bronzesteer/viewstate.go
+++ b/bronzesteer/viewstate.go
@@ -85,16 +85,16 @@
 // addToZone counts a new server in its zone.
 func (m member) addToZone() {
 	if m.server.Status != bronzeroute.Gone {
-		m.backend.zone.count(1)
+		m.backend.zone.addServers(1)
 	}
 }
 
 // removeFromZone takes a server out of its zone that is in no view any more.
 func (m member) removeFromZone() {
 	if m.server.Status != bronzeroute.Gone {
-		m.backend.zone.count(-1)
+		m.backend.zone.addServers(-1)
 	}
-	m.backend.zone.forget(m.backend)
+	m.backend.zone.remove(m.backend)
 }
 
 // updateMember returns the member as its server now is. What was seen of a server belongs
--- a/bronzesteer/warmup.go
+++ b/bronzesteer/warmup.go
@@ -76,7 +76,7 @@
 // isLimited reports whether the server may be given only what a cold one bears. A node that
 // stood still doesn't know which have started meanwhile.
 func (s *Steerer) isLimited(server *bronzeroute.Server, now time.Time) bool {
-	return server.Warmup.RequestsPerSecond > 0 && (!server.Warm(now) || s.unsure.Load())
+	return server.Warmup.RequestsPerSecond > 0 && (!server.Warm(now) || s.recordsUnconfirmed.Load())
 }
 
 // warmup is this node's part of what a cold server bears.
