--- a/bronzesteer/backend.go
+++ b/bronzesteer/backend.go
@@ -26,7 +26,7 @@
 	// The lock guards what follows, each subject in a type of its own.
 	mu sync.Mutex
 	serverLoad
-	responseTime
+	latencyStats
 	localEvidence
 	peerEvidence
 	warmup warmup
--- a/bronzesteer/evidence.go
+++ b/bronzesteer/evidence.go
@@ -91,7 +91,7 @@
 		s.health.recordFalseSuspicion(at)
 	}
 	if contradicts {
-		s.suspect(b)
+		s.queueReport(b)
 	}
 	s.lastAnswer.Store(int64(at))
 	b.zone.recordAnswer(b, at)
@@ -113,7 +113,7 @@
 func (s *Steerer) recordUnanswered(b *backend, sent, at time.Duration, weight int) {
 	e, counts, begins := b.addUnanswered(sent, at, weight)
 	if counts {
-		s.suspect(b)
+		s.queueReport(b)
 	}
 	if begins {
 		s.emit(e)
--- a/bronzesteer/flow.go
+++ b/bronzesteer/flow.go
@@ -13,20 +13,20 @@
 	shardCount = 16
 	// idleFor is how long a flow without packets is followed. It only bounds
 	// memory: the flow itself lives on.
-	idleFor = 20 * time.Second
+	flowTimeout = 20 * time.Second
 	// openingFor is the same for a flow that isn't open: callers repeat an
 	// opening twice within 600 ms and give up after 1.4 s.
-	openingFor = 3 * time.Second
+	openingTimeout = 3 * time.Second
 	// repeatedBy is when a caller without an answer has repeated its request
 	// at the latest.
-	repeatedBy = 300 * time.Millisecond
+	maxRetransmitDelay = 300 * time.Millisecond
 	// workLeast and workMost bound how long a request counts as being worked
 	// on without a sign of its answer.
-	workLeast = 60 * time.Millisecond
-	workMost  = 250 * time.Millisecond
+	minRequestTimeout = 60 * time.Millisecond
+	maxRequestTimeout = 250 * time.Millisecond
 	// overdueMost is the age up to which a request without an answer says something of its
 	// server. Most callers have given up by then.
-	overdueMost = 3 * time.Second
+	maxOverdueAge = 3 * time.Second
 )
 
 type flowKey = bronzeflow.Key
@@ -46,18 +46,18 @@
 	open       bool
 	idempotent bool
 	// struck tells that the flow's present silence is counted already.
-	struck bool
+	countedUnanswered bool
 	// opening is set while the caller hasn't gone on.
-	opening   *opening
+	pending   *pendingOpening
 	openedAt  time.Duration
 	retriedAt time.Duration
 	seenAt    time.Duration
 	// askedAt is when the request was first seen that has no answer yet, 0 if
 	// there is none, and working whether the server counts as working on it.
-	askedAt time.Duration
-	working bool
+	requestAt time.Duration
+	inFlight  bool
 	// overdue is at what age the request was last found overdue.
-	overdue time.Duration
+	overdueAge time.Duration
 	// sequence is the end of the data seen, acknowledged that of the answer.
 	sequence     uint32
 	acknowledged uint32
@@ -73,7 +73,7 @@
 }
 
 // end forgets a flow.
-func (sh *shard) end(key flowKey) {
+func (sh *shard) remove(key flowKey) {
 	f := sh.flows[key]
 	if f == nil {
 		return
@@ -84,64 +84,64 @@
 
 // retry has another server asked for a flow that isn't open.
 func (f *flow) retry(next choice, token uint32, at time.Duration) {
-	f.backend.addOpening(-1)
+	f.backend.addOpenings(-1)
 	f.backend, f.token, f.retriedAt = next.backend, token, at
-	f.backend.addOpening(1)
+	f.backend.addOpenings(1)
 }
 
 // release takes the flow out of its server's and its Customer's figures.
 func (f *flow) release() {
-	f.finish()
-	f.dropOpening()
+	f.finishRequest()
+	f.dropPending()
 	f.account.Ended(f.open)
 	if f.open {
 		f.backend.addFlows(-1)
 	} else {
-		f.backend.addOpening(-1)
+		f.backend.addOpenings(-1)
 	}
 }
 
 // finish notes that the server no longer works on the flow's request.
-func (f *flow) finish() {
-	if f.working {
-		f.working = false
-		f.backend.finish()
+func (f *flow) finishRequest() {
+	if f.inFlight {
+		f.inFlight = false
+		f.backend.finishRequest()
 	}
 }
 
 // note takes in what a packet of an established flow tells of its server.
-func (s *Steerer) note(f *flow, b *backend, token uint32, p *Packet, at time.Duration) {
+func (s *Steerer) observePacket(f *flow, b *backend, token uint32, p *Packet, at time.Duration) {
 	f.seenAt = at
 	if !f.open {
-		s.established(f, b, token, p, at)
+		s.handleEstablished(f, b, token, p, at)
 	}
 	if advance := int32(p.Acknowledged - f.acknowledged); advance > 0 {
 		f.acknowledged = p.Acknowledged
-		s.answered(f, p, at)
+		s.handleAnswer(f, p, at)
 	}
 	if p.Length == 0 {
 		return
 	}
 	if end := p.Sequence + uint32(p.Length); int32(end-f.sequence) > 0 {
 		f.sequence = end
-		if f.askedAt == 0 {
-			f.askedAt, f.working, f.overdue = at, true, 0
-			f.backend.begin()
+		if f.requestAt == 0 {
+			f.requestAt, f.inFlight, f.overdueAge = at, true, 0
+			f.backend.beginRequest()
 		}
 		return
 	}
-	if f.askedAt != 0 && at-f.askedAt >= minRetransmitAge && !f.struck {
-		f.struck = true
+	if f.requestAt != 0 && at-f.requestAt >= minRetransmitAge && !f.countedUnanswered {
+		f.countedUnanswered = true
 		// It takes at least this long, which the answer would show only later.
-		f.backend.observe(at-f.askedAt, at)
-		s.recordUnanswered(f.backend, f.askedAt, at, dataWeight)
+		f.backend.observeLatency(at-f.requestAt, at)
+		s.recordUnanswered(f.backend, f.requestAt, at, dataWeight)
 	}
 }
 
 // established notes that the caller has taken a server's acceptance.
-func (s *Steerer) established(f *flow, b *backend, token uint32, p *Packet, at time.Duration) {
+func (s *Steerer) handleEstablished(f *flow, b *backend, token uint32, p *Packet, at time.Duration) {
 	f.account.Established()
-	f.backend.addOpening(-1)
+	f.backend.addOpenings(-1)
 	f.open, f.backend, f.token = true, b, token
 	f.sequence, f.acknowledged = p.Sequence, p.Acknowledged
 	b.addFlows(1)
@@ -149,20 +149,20 @@
 }
 
 // answered notes that the caller has more of the answer.
-func (s *Steerer) answered(f *flow, p *Packet, at time.Duration) {
-	f.struck = false
+func (s *Steerer) handleAnswer(f *flow, p *Packet, at time.Duration) {
+	f.countedUnanswered = false
 	s.recordAnswer(f.backend, at)
-	if f.askedAt == 0 {
+	if f.requestAt == 0 {
 		return
 	}
 	f.backend.stats.recordAck(p.Length == 0)
 	if p.Length == 0 {
 		// With new data the acknowledgement says only that the answer came
 		// some time before.
-		f.backend.observe(at-f.askedAt, at)
+		f.backend.observeLatency(at-f.requestAt, at)
 	}
-	f.askedAt = 0
-	f.finish()
+	f.requestAt = 0
+	f.finishRequest()
 }
 
 // EndedFlow is a flow that is to be ended though no packet of it came.
@@ -185,9 +185,9 @@
 		return nil
 	}
 	at := s.since(now)
-	s.renewNews()
-	lost := s.silentServers(at)
-	if at-s.loadsAt >= loadsEvery {
+	s.signalQueuedReports()
+	lost := s.failedServers(at)
+	if at-s.loadsUpdatedAt >= loadInterval {
 		if !s.recordsUnconfirmed.Load() {
 			k.addGoneServers(lost)
 		}
@@ -203,21 +203,21 @@
 // loss is what has become of a server, and whether it is known so well that flows are ended
 // there that don't wait for an answer.
 type loss struct {
-	reason Reason
-	sure   bool
+	reason  Reason
+	certain bool
 }
 
 // silentServers returns the servers that answer nobody.
-func (s *Steerer) silentServers(at time.Duration) (lost map[*backend]loss) {
+func (s *Steerer) failedServers(at time.Duration) (lost map[*backend]loss) {
 	lost = make(map[*backend]loss)
 	if !s.canJudge(at) {
 		return lost
 	}
-	suspects := s.toTell(true)
-	s.findTrials(suspects, at)
+	suspects := s.suspectsToReport(true)
+	s.updateProbes(suspects, at)
 	for _, b := range suspects {
 		if s.failed(b, true, at) {
-			lost[b] = loss{reason: ServerSilent, sure: s.failed(b, false, at)}
+			lost[b] = loss{reason: ServerSilent, certain: s.failed(b, false, at)}
 		}
 	}
 	return lost
@@ -227,7 +227,7 @@
 func (k *viewState) addGoneServers(lost map[*backend]loss) {
 	for _, m := range k.members {
 		if m.server.Status == bronzeroute.Gone {
-			lost[m.backend] = loss{reason: ServerGone, sure: true}
+			lost[m.backend] = loss{reason: ServerGone, certain: true}
 		}
 	}
 }
@@ -236,25 +236,25 @@
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	for key, f := range sh.flows {
-		limit := idleFor
+		limit := flowTimeout
 		if !f.open {
-			limit = openingFor
+			limit = openingTimeout
 		}
 		if at-f.seenAt > limit {
-			sh.end(key)
+			sh.remove(key)
 			continue
 		}
 		l, ended := lost[f.backend]
 		if f.endedByRestart(at, now) {
-			l, ended = loss{reason: ServerReborn, sure: true}, true
+			l, ended = loss{reason: ServerReborn, certain: true}, true
 		}
-		if ended && f.open && f.mayEnd(l, at) {
+		if ended && f.open && f.mayReset(l, at) {
 			p := Packet{Key: key, Token: f.token, Sequence: f.sequence, Acknowledged: f.acknowledged}
 			endings = append(endings, EndedFlow{Packet: p, Instance: f.backend.instance, Reason: l.reason})
-			sh.end(key)
+			sh.remove(key)
 			continue
 		}
-		f.waitOn(at)
+		f.checkOverdue(at)
 	}
 	return endings
 }
@@ -263,18 +263,18 @@
 // time that its age has doubled: so long the server takes at least. Otherwise one that
 // accepts openings and hangs with a part of its requests is forgotten with each of them,
 // looks idle, and draws more.
-func (f *flow) waitOn(at time.Duration) {
-	if f.askedAt == 0 || f.struck {
+func (f *flow) checkOverdue(at time.Duration) {
+	if f.requestAt == 0 || f.countedUnanswered {
 		return
 	}
-	age := at - f.askedAt
-	due := age >= 2*f.overdue && age < overdueMost
-	if !f.working && !due || age <= f.backend.workFor() {
+	age := at - f.requestAt
+	due := age >= 2*f.overdueAge && age < maxOverdueAge
+	if !f.inFlight && !due || age <= f.backend.requestTimeout() {
 		return
 	}
-	f.finish()
+	f.finishRequest()
 	if due && f.backend.stats.acksPromptly() {
-		f.overdue = age
+		f.overdueAge = age
 		f.backend.observeOverdue(age, at)
 	}
 }
@@ -282,19 +282,19 @@
 // mayEnd reports whether the flow may be ended for what has become of its server. One with
 // a request at a silent server may if that may be repeated: its caller would ask again
 // only 400 or 800 ms after the last time, and have no time left to be served elsewhere.
-func (f *flow) mayEnd(l loss, at time.Duration) bool {
-	if l.reason == ServerSilent && f.idempotent && f.struck {
+func (f *flow) mayReset(l loss, at time.Duration) bool {
+	if l.reason == ServerSilent && f.idempotent && f.countedUnanswered {
 		return true
 	}
-	if l.reason == ServerSilent && f.idempotent && f.askedAt != 0 {
-		return l.sure
+	if l.reason == ServerSilent && f.idempotent && f.requestAt != 0 {
+		return l.certain
 	}
-	return l.sure && f.idle(at)
+	return l.certain && f.idle(at)
 }
 
 // idle reports whether the flow has no request that waits for its answer. The
 // acknowledgement of a short answer comes only with the next request, but a
 // caller without an answer repeats its request after 200 ms.
 func (f *flow) idle(at time.Duration) bool {
-	return !f.struck && (f.askedAt == 0 || at-f.seenAt > repeatedBy)
+	return !f.countedUnanswered && (f.requestAt == 0 || at-f.seenAt > maxRetransmitDelay)
 }
--- a/bronzesteer/hedge.go
+++ b/bronzesteer/hedge.go
@@ -13,29 +13,29 @@
 	// themselves after 200 ms. Below the least, the scheduling of a node with a tenth of
 	// a core shows more than its servers do. Where answers take longer than the most, it is
 	// the node or the way that is slow, and no further server would be faster.
-	hedgeUnknown = 40 * time.Millisecond
-	hedgeLeast   = 12 * time.Millisecond
-	hedgeMost    = 100 * time.Millisecond
+	defaultHedgeDelay = 40 * time.Millisecond
+	minHedgeDelay     = 12 * time.Millisecond
+	maxHedgeDelay     = 100 * time.Millisecond
 	// hedgeDeviations is how many mean deviations over the mean an answer takes before it
 	// is overdue, and handshakePart the weight of one time in both, as usual for
 	// retransmission timers. The deviation grows faster than it shrinks: on a slow link each
 	// large upload delays everything behind it.
-	hedgeDeviations = 4
-	handshakePart   = 0.125
-	deviationGrows  = 0.25
-	deviationFalls  = 0.03
+	hedgeDeviations     = 4
+	handshakeWeight     = 0.125
+	deviationRiseWeight = 0.25
+	deviationFallWeight = 0.03
 	// hedgeShare is how many second openings each opening allows, and hedgeBurst how many
 	// may be sent at once. A fleet whose servers are well needs none; while a third of them are
 	// silent, each costs a node one until it is avoided.
-	hedgeShare = 0.1
-	hedgeBurst = 30
+	hedgeBudgetRatio = 0.1
+	hedgeBudgetBurst = 30
 	// hedgesMost is how many further servers one opening goes to. Of two servers, both are
 	// silent for one opening in ten while a third of all are.
-	hedgesMost = 2
+	maxHedges = 2
 )
 
 // opening is one whose caller hasn't gone on yet.
-type opening struct {
+type pendingOpening struct {
 	key   flowKey
 	bytes []byte
 	// first is the server that was asked first, hedges how many others were since.
@@ -48,34 +48,34 @@
 
 // hedges are the openings that wait for their answers, and what may be spent on them.
 // All methods may be called concurrently.
-type hedges struct {
+type hedgeQueue struct {
 	mu sync.Mutex
 	// waiting is ordered by due but for what is due in a zone that takes longer: an
 	// opening may wait for those before it, for hedgeMost at most.
-	waiting []*opening
+	waiting []*pendingOpening
 	// spent is how many second openings were sent that the openings since don't allow yet.
 	spent float64
 }
 
 // earn counts an opening.
-func (h *hedges) earn() {
+func (h *hedgeQueue) creditOpening() {
 	h.mu.Lock()
-	h.spent = max(h.spent-hedgeShare, 0)
+	h.spent = max(h.spent-hedgeBudgetRatio, 0)
 	h.mu.Unlock()
 }
 
 // spend reports whether another second opening may be sent.
-func (h *hedges) spend() bool {
+func (h *hedgeQueue) takeBudget() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.spent+1 > hedgeBurst {
+	if h.spent+1 > hedgeBudgetBurst {
 		return false
 	}
 	h.spent++
 	return true
 }
 
-func (h *hedges) wait(o *opening) {
+func (h *hedgeQueue) push(o *pendingOpening) {
 	h.mu.Lock()
 	h.waiting = append(h.waiting, o)
 	h.mu.Unlock()
@@ -83,7 +83,7 @@
 
 // next drops openings that are settled, and returns when the first of the others is
 // due.
-func (h *hedges) next() (due time.Duration, ok bool) {
+func (h *hedgeQueue) next() (due time.Duration, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for len(h.waiting) > 0 && h.waiting[0].settled.Load() {
@@ -97,7 +97,7 @@
 }
 
 // take returns those that are due.
-func (h *hedges) take(at time.Duration) (due []*opening) {
+func (h *hedgeQueue) popDue(at time.Duration) (due []*pendingOpening) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for len(h.waiting) > 0 && (h.waiting[0].due <= at || h.waiting[0].settled.Load()) {
@@ -134,7 +134,7 @@
 		return nil
 	}
 	at := s.since(now)
-	for _, o := range s.hedges.take(at) {
+	for _, o := range s.hedges.popDue(at) {
 		if h, ok := s.hedge(k, o, at, now); ok {
 			list = append(list, h)
 		}
@@ -143,14 +143,14 @@
 }
 
 // hedge sends one opening to a further server, if one can take it in time.
-func (s *Steerer) hedge(k *viewState, o *opening, at time.Duration, now time.Time) (h Hedge, ok bool) {
+func (s *Steerer) hedge(k *viewState, o *pendingOpening, at time.Duration, now time.Time) (h Hedge, ok bool) {
 	p := Packet{Key: o.key, Open: true, Bytes: o.bytes}
 	route := k.view.Route(o.key.ServiceAddrPort())
 	sh := s.shard(&p)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	f := sh.flows[o.key]
-	if route == nil || f == nil || f.opening != o || f.open {
+	if route == nil || f == nil || f.pending != o || f.open {
 		return h, false
 	}
 	asked := f.backend
@@ -161,41 +161,41 @@
 	}
 	// A pool that has too much to do isn't given more.
 	takes := time.Duration(next.atWork * float64(next.backend.stats.serviceTime()))
-	if shedFraction(takes, route.Objective) > 0 || !s.hedges.spend() {
+	if shedFraction(takes, route.Objective) > 0 || !s.hedges.takeBudget() {
 		return h, false
 	}
 	f.retry(next, k.view.Token(route.Service, next.server), at)
 	o.hedges++
-	if patience := s.patience(next.backend); o.hedges < hedgesMost && patience <= hedgeMost {
+	if patience := s.hedgeDelay(next.backend); o.hedges < maxHedges && patience <= maxHedgeDelay {
 		o.due = at + patience
-		s.hedges.wait(o)
+		s.hedges.push(o)
 	}
 	d := Decision{Kind: Forward, Reason: Hedged, Server: next.server, Token: f.token, Tried: k.view.ByName(asked.instance)}
 	return Hedge{Packet: p, Decision: d}, true
 }
 
 // expect has an opening wait for its answer.
-func (s *Steerer) expect(f *flow, p *Packet, at time.Duration) {
-	s.hedges.earn()
+func (s *Steerer) scheduleHedge(f *flow, p *Packet, at time.Duration) {
+	s.hedges.creditOpening()
 	if len(p.Bytes) == 0 {
 		return
 	}
-	patience := s.patience(f.backend)
-	o := &opening{key: p.Key, bytes: append([]byte(nil), p.Bytes...), first: f.backend, due: at + patience}
-	f.opening = o
-	if patience <= hedgeMost {
-		s.hedges.wait(o)
+	patience := s.hedgeDelay(f.backend)
+	o := &pendingOpening{key: p.Key, bytes: append([]byte(nil), p.Bytes...), first: f.backend, due: at + patience}
+	f.pending = o
+	if patience <= maxHedgeDelay {
+		s.hedges.push(o)
 	}
 }
 
 // settle ends the waiting of a flow's opening, for which b has answered, and tells how
 // it went if more than one server was asked.
 func (f *flow) settle(b *backend, at time.Duration) (outcome HedgeOutcome) {
-	o := f.opening
+	o := f.pending
 	if o == nil {
 		return NotHedged
 	}
-	f.dropOpening()
+	f.dropPending()
 	if b == o.first {
 		b.zone.observeHandshake(at - f.openedAt)
 	}
@@ -210,14 +210,14 @@
 }
 
 // patience returns how long the answer to an opening may take.
-func (s *Steerer) patience(b *backend) time.Duration {
+func (s *Steerer) hedgeDelay(b *backend) time.Duration {
 	z := b.zone
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	if z.handshakeTime == 0 {
-		return hedgeUnknown
+		return defaultHedgeDelay
 	}
-	return max(z.handshakeTime+hedgeDeviations*z.deviation, hedgeLeast)
+	return max(z.handshakeTime+hedgeDeviations*z.deviation, minHedgeDelay)
 }
 
 // observe takes in how long an opening at a server of the zone took.
@@ -229,11 +229,11 @@
 		return
 	}
 	off := took - z.handshakeTime
-	z.handshakeTime += time.Duration(handshakePart * float64(off))
+	z.handshakeTime += time.Duration(handshakeWeight * float64(off))
 	change := max(off, -off) - z.deviation
-	part := deviationFalls
+	part := deviationFallWeight
 	if change > 0 {
-		part = deviationGrows
+		part = deviationRiseWeight
 	}
 	z.deviation += time.Duration(part * float64(change))
 }
--- a/bronzesteer/hedge_test.go
+++ b/bronzesteer/hedge_test.go
@@ -43,7 +43,7 @@
 	sent := s.now
 	list := s.wait()
 	require.Len(t, list, 1)
-	require.LessOrEqual(t, s.now.Sub(sent), 2*hedgeLeast)
+	require.LessOrEqual(t, s.now.Sub(sent), 2*minHedgeDelay)
 	h := list[0].Decision
 	require.Equal(t, Hedged, h.Reason)
 	require.Equal(t, d.Server.Instance, h.Tried.Instance)
@@ -67,7 +67,7 @@
 	s.handshakes(20, 3*time.Millisecond)
 	_, d := s.open(live)
 	asked := map[string]bool{d.Server.Instance: true}
-	for range hedgesMost {
+	for range maxHedges {
 		list := s.wait()
 		require.Len(t, list, 1)
 		require.False(t, asked[list[0].Decision.Server.Instance])
@@ -121,7 +121,7 @@
 	sent := s.now
 	require.Len(t, s.wait(), 1)
 	require.Greater(t, s.now.Sub(sent), 30*time.Millisecond)
-	require.LessOrEqual(t, s.now.Sub(sent), hedgeMost)
+	require.LessOrEqual(t, s.now.Sub(sent), maxHedgeDelay)
 }
 
 // All servers of a large zone fall silent while callers press. If each opening were sent
@@ -136,7 +136,7 @@
 		s.now = s.now.Add(time.Millisecond)
 		hedged += len(s.node.Hedges(s.now))
 	}
-	require.LessOrEqual(t, hedged, int(hedgeBurst+hedgeShare*openings)+1)
+	require.LessOrEqual(t, hedged, int(hedgeBudgetBurst+hedgeBudgetRatio*openings)+1)
 	require.Positive(t, hedged)
 }
 
@@ -195,7 +195,7 @@
 					key := h.Packet.Key
 					hedges[key]++
 					require.False(t, done[key])
-					require.LessOrEqual(t, hedges[key], hedgesMost)
+					require.LessOrEqual(t, hedges[key], maxHedges)
 					require.NotEqual(t, h.Decision.Tried.Instance, h.Decision.Server.Instance)
 				}
 			},
--- a/bronzesteer/load.go
+++ b/bronzesteer/load.go
@@ -11,12 +11,12 @@
 
 const (
 	// loadFor is how long another node's loads count.
-	loadFor = 2500 * time.Millisecond
+	peerLoadTimeout = 2500 * time.Millisecond
 	// loadsEvery is how often loads are brought up to date and lost servers
 	// looked for.
-	loadsEvery = 500 * time.Millisecond
+	loadInterval = 500 * time.Millisecond
 	// rateOver is the time that a request rate is averaged over.
-	rateOver = 2 * time.Second
+	rateTimeConstant = 2 * time.Second
 	// maxLoads bounds the servers that a node tells of, those that it sends most to, by
 	// the bytes that it may spend on messages.
 	maxLoads = 45
@@ -26,13 +26,13 @@
 type serverLoad struct {
 	// opening, flows and work count this node's openings without an answer,
 	// open flows, and requests that are worked on.
-	opening int
-	flows   int
-	work    int
+	openings int
+	flows    int
+	inFlight int
 	// rate is the average of the requests that this node sends to it, and
 	// others that of the other nodes as far as they tell, in requests a second.
-	rate   float64
-	others float64
+	rate     float64
+	peerRate float64
 }
 
 // Load is what a node sends to one server.
@@ -48,7 +48,7 @@
 }
 
 // nodeLoads is what another node has told.
-type nodeLoads struct {
+type peerLoads struct {
 	at    time.Duration
 	loads []Load
 }
@@ -56,7 +56,7 @@
 // Loads returns what this node sends to servers, for the other nodes, as of the
 // last time that loads were brought up to date. The caller must not change it.
 func (s *Steerer) Loads() []Load {
-	if told := s.told.Load(); told != nil {
+	if told := s.ownLoads.Load(); told != nil {
 		return *told
 	}
 	return nil
@@ -64,25 +64,25 @@
 
 // setTold keeps what Loads returns. Nodes are told several times a second, and
 // gathering it looks at thousands of servers.
-func (s *Steerer) setTold(loads []Load) {
+func (s *Steerer) storeLoads(loads []Load) {
 	if len(loads) > maxLoads {
 		slices.SortFunc(loads, func(a, b Load) int { return cmp.Compare(b.Rate, a.Rate) })
 		loads = loads[:maxLoads]
 	}
-	s.told.Store(&loads)
+	s.ownLoads.Store(&loads)
 }
 
 func shortID(server *bronzeroute.Server) uint32 { return uint32(server.ID) }
 
 // leastRate is the least rate that is told, in requests a second.
-const leastRate = 0.1
+const minReportedRate = 0.1
 
 // SetLoads takes in what another node sends to servers.
 func (s *Steerer) SetLoads(node string, loads []Load, now time.Time) {
 	s.init()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.nodes[node] = nodeLoads{at: s.since(now), loads: loads}
+	s.peerLoads[node] = peerLoads{at: s.since(now), loads: loads}
 }
 
 // SetPeerCount tells how many nodes there are beside this one.
@@ -98,31 +98,31 @@
 	if others := s.peers.Load(); heard > 0 && int(others) > heard {
 		scale = float64(others) / float64(heard)
 	}
-	passed := at - s.loadsAt
-	rest := math.Exp(-float64(passed) / float64(rateOver))
-	s.loadsAt = at
+	passed := at - s.loadsUpdatedAt
+	rest := math.Exp(-float64(passed) / float64(rateTimeConstant))
+	s.loadsUpdatedAt = at
 	var told []Load
 	for _, m := range k.members {
 		server, b := m.server, m.backend
 		b.mu.Lock()
-		b.forgive(passed)
+		b.decayLatency(passed)
 		b.rate *= rest
 		rate := b.rate
 		sum := sums[shortID(server)]
-		b.others = scale * sum.rate
-		b.othersLatency = sum.latency()
+		b.peerRate = scale * sum.rate
+		b.peerLatency = sum.latency()
 		latency := b.latency
 		b.mu.Unlock()
-		if rate >= leastRate {
+		if rate >= minReportedRate {
 			told = append(told, Load{Server: shortID(server), Rate: rate, Latency: latency})
 		}
 	}
-	s.setTold(told)
-	s.updateUsual(k)
+	s.storeLoads(told)
+	s.updateMedianLatency(k)
 }
 
 // updateUsual brings up to date how long the servers of each pool usually take.
-func (s *Steerer) updateUsual(k *viewState) {
+func (s *Steerer) updateMedianLatency(k *viewState) {
 	for _, p := range k.pools {
 		if len(p.members) > 0 {
 			p.members[0].backend.stats.medianLatency.Store(int64(medianLatency(s.sampleMembers(p.members, latencySample))))
@@ -133,24 +133,24 @@
 // loadSum is what other nodes send to a server, in requests a second, and how long it
 // takes, each node's latency by what it sends.
 type loadSum struct {
-	rate    float64
-	timed   float64
-	seconds float64
+	rate        float64
+	latencyRate float64
+	latencySum  float64
 }
 
 func (u *loadSum) add(l Load) {
 	u.rate += l.Rate
 	if l.Latency > 0 {
-		u.timed += l.Rate
-		u.seconds += l.Rate * l.Latency.Seconds()
+		u.latencyRate += l.Rate
+		u.latencySum += l.Rate * l.Latency.Seconds()
 	}
 }
 
 func (u *loadSum) latency() time.Duration {
-	if u.timed == 0 {
+	if u.latencyRate == 0 {
 		return 0
 	}
-	return time.Duration(u.seconds / u.timed * float64(time.Second))
+	return time.Duration(u.latencySum / u.latencyRate * float64(time.Second))
 }
 
 // sumLoads adds up, by server, what other nodes told lately, and counts them.
@@ -158,9 +158,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	sums = make(map[uint32]loadSum)
-	for node, n := range s.nodes {
-		if at-n.at > loadFor {
-			delete(s.nodes, node)
+	for node, n := range s.peerLoads {
+		if at-n.at > peerLoadTimeout {
+			delete(s.peerLoads, node)
 			continue
 		}
 		heard++
@@ -175,14 +175,14 @@
 
 // use returns what part of the server's slots is in use if its requests take so long; the
 // caller holds the lock.
-func (b *backend) use(latency time.Duration) float64 {
-	return (b.rate + b.others) * latency.Seconds() / float64(max(b.slots, 1))
+func (b *backend) utilization(latency time.Duration) float64 {
+	return (b.rate + b.peerRate) * latency.Seconds() / float64(max(b.slots, 1))
 }
 
-func (b *backend) addOpening(n int) {
+func (b *backend) addOpenings(n int) {
 	b.stats.inFlight.Add(int64(n))
 	b.mu.Lock()
-	b.opening += n
+	b.openings += n
 	b.mu.Unlock()
 }
 
@@ -193,18 +193,18 @@
 }
 
 // begin notes that a request is sent to the server.
-func (b *backend) begin() {
+func (b *backend) beginRequest() {
 	b.stats.inFlight.Add(1)
 	b.mu.Lock()
-	b.work++
-	b.rate += float64(time.Second) / float64(rateOver)
+	b.inFlight++
+	b.rate += float64(time.Second) / float64(rateTimeConstant)
 	b.mu.Unlock()
 }
 
 // finish notes that a request needs the server no longer.
-func (b *backend) finish() {
+func (b *backend) finishRequest() {
 	b.stats.inFlight.Add(-1)
 	b.mu.Lock()
-	b.work--
+	b.inFlight--
 	b.mu.Unlock()
 }
--- a/bronzesteer/pause.go
+++ b/bronzesteer/pause.go
@@ -27,9 +27,9 @@
 	s.recordsUnconfirmed.Store(true)
 	s.hedges.clear()
 	for i := range s.shards {
-		s.shards[i].pause(&aside, at)
+		s.shards[i].discardPending(&aside, at)
 	}
-	aside.Findings = s.forgetFindings()
+	aside.Findings = s.discardFindings()
 	return aside
 }
 
@@ -38,7 +38,7 @@
 
 // pause forgets what the shard's flows wait for. Openings are kept: their callers may go
 // on with the server that was asked.
-func (sh *shard) pause(aside *Discarded, at time.Duration) {
+func (sh *shard) discardPending(aside *Discarded, at time.Duration) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	for _, f := range sh.flows {
@@ -46,25 +46,25 @@
 		case !f.open:
 			aside.Openings++
 			f.retriedAt = at
-			f.dropOpening()
-		case f.askedAt != 0:
+			f.dropPending()
+		case f.requestAt != 0:
 			aside.Requests++
-			f.finish()
-			f.askedAt, f.struck = 0, false
+			f.finishRequest()
+			f.requestAt, f.countedUnanswered = 0, false
 		}
 	}
 }
 
 // dropOpening ends the waiting for an opening's answer, which shows nothing any more.
-func (f *flow) dropOpening() {
-	if f.opening != nil {
-		f.opening.settled.Store(true)
-		f.opening = nil
+func (f *flow) dropPending() {
+	if f.pending != nil {
+		f.pending.settled.Store(true)
+		f.pending = nil
 	}
 }
 
 // clear forgets the openings that wait.
-func (h *hedges) clear() {
+func (h *hedgeQueue) clear() {
 	h.mu.Lock()
 	h.waiting = nil
 	h.mu.Unlock()
@@ -72,7 +72,7 @@
 
 // forgetFindings forgets what was found of servers, here and elsewhere, and returns how
 // many servers there was something of.
-func (s *Steerer) forgetFindings() (n int) {
+func (s *Steerer) discardFindings() (n int) {
 	s.mu.Lock()
 	suspects := s.suspects
 	s.suspects = make(map[*backend]bool)
@@ -83,7 +83,7 @@
 	}
 	s.mu.Unlock()
 	for b := range suspects {
-		if b.forgetFindings() {
+		if b.discardFindings() {
 			n++
 		}
 	}
@@ -98,7 +98,7 @@
 
 // forgetFindings forgets what was found of the server, and reports whether there was
 // something.
-func (b *backend) forgetFindings() (had bool) {
+func (b *backend) discardFindings() (had bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	had = b.unanswered > 0 || len(b.findings) > 0
--- a/bronzesteer/place.go
+++ b/bronzesteer/place.go
@@ -259,7 +259,7 @@
 	if median := medianLatency(members); median > 0 {
 		return median
 	}
-	return latencyUnknown
+	return defaultLatency
 }
 
 // medianLatency returns the same, 0 if none is known.
@@ -291,11 +291,11 @@
 	if own := b.fleetLatency(); own > latency {
 		slow = min(float64(own)/float64(latency), slowMost)
 	}
-	work := float64(b.work + b.opening)
+	work := float64(b.inFlight + b.openings)
 	return candidate{
 		server: server, backend: b, tier: t, slots: slots,
-		used: (b.rate + b.others) * latency.Seconds() * slow / slots,
+		used: (b.rate + b.peerRate) * latency.Seconds() * slow / slots,
 		load: (1 + work) * slow / slots,
-		work: work, rate: b.rate, others: b.others,
+		work: work, rate: b.rate, others: b.peerRate,
 	}
 }
--- a/bronzesteer/place_test.go
+++ b/bronzesteer/place_test.go
@@ -98,7 +98,7 @@
 	s.pass(100 * time.Millisecond)
 	c, _ := s.open(live)
 	require.Equal(t, "b", c.server.AvailabilityZone)
-	s.pass(loadFor + time.Second)
+	s.pass(peerLoadTimeout + time.Second)
 	c, _ = s.open(live)
 	require.Equal(t, "a", c.server.AvailabilityZone)
 }
@@ -112,25 +112,25 @@
 		s.node.SetLoads(node, []Load{{Server: shortID(server), Rate: 4}}, s.now)
 	}
 	s.pass(50 * time.Millisecond)
-	require.InDelta(t, 40, s.node.state.Load().backendOf(server, nil).others, 0.001)
+	require.InDelta(t, 40, s.node.state.Load().backendOf(server, nil).peerRate, 0.001)
 }
 
 // A node that sends to more servers than it may tell of tells of those that it
 // sends most to, and of none that it hardly sends anything to.
 func TestLoadsAreOfTheBusiestServers(t *testing.T) {
 	s := newSite(t, maxLoads+10)
-	s.pass(loadsEvery)
+	s.pass(loadInterval)
 	for i, server := range s.node.View().Servers {
-		s.node.state.Load().backendOf(server, nil).rate = 2 * leastRate * float64(i)
+		s.node.state.Load().backendOf(server, nil).rate = 2 * minReportedRate * float64(i)
 	}
 	require.Empty(t, s.node.Loads(), "before they were brought up to date")
-	s.pass(loadsEvery)
+	s.pass(loadInterval)
 	loads := s.node.Loads()
 	require.Len(t, loads, maxLoads)
 	for i := range loads[1:] {
 		require.GreaterOrEqual(t, loads[i].Rate, loads[i+1].Rate)
 	}
-	s.pass(20 * rateOver)
+	s.pass(20 * rateTimeConstant)
 	require.Empty(t, s.node.Loads())
 }
 
@@ -158,8 +158,8 @@
 	slow := s.node.state.Load().backendOf(s.node.View().ByName("a-0"), nil)
 	quick := s.node.state.Load().backendOf(s.node.View().ByName("a-1"), nil)
 	for range 50 {
-		slow.observe(200*time.Millisecond, time.Minute)
-		quick.observe(20*time.Millisecond, time.Minute)
+		slow.observeLatency(200*time.Millisecond, time.Minute)
+		quick.observeLatency(20*time.Millisecond, time.Minute)
 	}
 	byServer, _ := s.spread(100)
 	require.Less(t, byServer["a-0"], 30)
@@ -246,7 +246,7 @@
 			{Server: quick.shortID, Rate: 0.3, Latency: 30 * time.Millisecond},
 		}, s.now)
 	}
-	s.pass(loadsEvery)
+	s.pass(loadInterval)
 	toSlow := 0
 	for range 12 {
 		if _, d := s.open(live); d.Server.Instance == "a-0" {
@@ -262,7 +262,7 @@
 func TestServerThatFailsAtOnceGetsLess(t *testing.T) {
 	s := newSite(t, 4)
 	s.load(16, live)
-	s.pass(loadsEvery)
+	s.pass(loadInterval)
 	var there int
 	for range 40 {
 		c, d := s.open(live)
@@ -277,7 +277,7 @@
 		c.answered()
 	}
 	require.LessOrEqual(t, there, 4)
-	s.pass(3 * forgiveFor)
+	s.pass(3 * latencyDecayTime)
 	there = 0
 	for range 12 {
 		if _, d := s.open(live); d.Server.Instance == "a-0" {
@@ -294,10 +294,10 @@
 	k := s.node.state.Load()
 	slow, quick := k.backendOf(s.node.View().ByName("a-0"), nil), k.backendOf(s.node.View().ByName("a-1"), nil)
 	for i := range 20 {
-		slow.observe(300*time.Millisecond, time.Minute)
-		quick.observe(20*time.Millisecond, time.Minute)
+		slow.observeLatency(300*time.Millisecond, time.Minute)
+		quick.observeLatency(20*time.Millisecond, time.Minute)
 		if i%5 == 0 {
-			s.pass(loadsEvery)
+			s.pass(loadInterval)
 		}
 	}
 	require.Greater(t, s.status("a-0").LatencyMS, s.status("a-1").LatencyMS)
@@ -311,15 +311,15 @@
 func TestBusyServersThatRefuseAreNotTakenForFailing(t *testing.T) {
 	s := newSite(t, 4)
 	s.load(16, live)
-	s.pass(loadsEvery)
+	s.pass(loadInterval)
 	b := s.node.backend("a-0")
 	usual := time.Duration(b.stats.medianLatency.Load())
 	require.Equal(t, 50*time.Millisecond, usual)
-	b.others = unqueuedUtilization * float64(b.slots) / usual.Seconds()
+	b.peerRate = unqueuedUtilization * float64(b.slots) / usual.Seconds()
 	before := b.latency
-	b.observe(3*time.Millisecond, s.node.since(s.now))
+	b.observeLatency(3*time.Millisecond, s.node.since(s.now))
 	require.Less(t, b.latency, before)
-	b.others, b.rate = 0, 1
-	b.observe(3*time.Millisecond, s.node.since(s.now))
+	b.peerRate, b.rate = 0, 1
+	b.observeLatency(3*time.Millisecond, s.node.since(s.now))
 	require.Greater(t, b.latency, before)
 }
--- a/bronzesteer/pool.go
+++ b/bronzesteer/pool.go
@@ -21,7 +21,7 @@
 	// summaryMaxAge is how old what is known of a large pool as a whole may be, but for
 	// the requests at work. Rates are brought up to date that often, and a silent
 	// server is avoided for three times as long.
-	summaryMaxAge = loadsEvery
+	summaryMaxAge = loadInterval
 	// latencySample is of how many servers of a large pool the latency is taken.
 	latencySample = 2 * maxFullScan
 )
--- a/bronzesteer/probe_test.go
+++ b/bronzesteer/probe_test.go
@@ -101,6 +101,6 @@
 		}
 		c.accept()
 	}
-	require.Equal(t, trialsMost, tried)
+	require.Equal(t, maxProbes, tried)
 	require.Empty(t, s.endings)
 }
--- a/bronzesteer/report.go
+++ b/bronzesteer/report.go
@@ -11,9 +11,9 @@
 // found is mostly enough to act on. A report takes 14 bytes, and all fit into one
 // message. Where more servers fail at once, each message tells of some of them.
 const (
-	maxReports    = 32
-	maxReporters  = 6
-	toldReporters = 3
+	maxReports          = 32
+	maxReporters        = 6
+	maxReportsPerServer = 3
 )
 
 // Report is what a node has found of a server, as nodes tell each other. Of a server that
@@ -40,14 +40,14 @@
 type suspects map[*backend]bool
 
 // HasNewReports reports whether Reports has something new since HasNewReports was last called.
-func (s *Steerer) HasNewReports() bool { return s.news.Swap(false) }
+func (s *Steerer) HasNewReports() bool { return s.newReports.Swap(false) }
 
 // suspect notes that there is something new to be told of a server.
-func (s *Steerer) suspect(b *backend) {
+func (s *Steerer) queueReport(b *backend) {
 	s.mu.Lock()
 	s.suspects[b] = true
 	s.mu.Unlock()
-	s.news.Store(true)
+	s.newReports.Store(true)
 }
 
 // Reports returns what is to be told to other nodes: what has changed since it was last
@@ -56,24 +56,24 @@
 	s.init()
 	at := s.since(now)
 	var over []*backend
-	for _, b := range s.toTell(all) {
+	for _, b := range s.suspectsToReport(all) {
 		told, later := s.reportsOf(b, at)
 		switch {
 		case later && !all:
-			s.tellLater(b)
+			s.requeueReport(b)
 		case len(told) == 0 && !later:
 			over = append(over, b)
 		}
 		list = append(list, told...)
 	}
-	s.unsuspect(over)
-	return s.some(list)
+	s.removeSuspects(over)
+	return s.limitReports(list)
 }
 
 // some returns some of the reports if they are too many: answers before findings. While
 // nodes that are late find more servers silent than a message holds, what clears those has
 // to come through.
-func (s *Steerer) some(list []Report) []Report {
+func (s *Steerer) limitReports(list []Report) []Report {
 	if len(list) <= maxReports {
 		return list
 	}
@@ -99,26 +99,26 @@
 }
 
 // tellLater keeps a server among those that there is something new of.
-func (s *Steerer) tellLater(b *backend) {
+func (s *Steerer) requeueReport(b *backend) {
 	s.mu.Lock()
 	s.suspects[b] = true
 	s.mu.Unlock()
 }
 
 // renewNews has News say so if there is something new that was too young to be told.
-func (s *Steerer) renewNews() {
+func (s *Steerer) signalQueuedReports() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, changed := range s.suspects {
 		if changed {
-			s.news.Store(true)
+			s.newReports.Store(true)
 			return
 		}
 	}
 }
 
 // toTell returns the servers that others are to be told of.
-func (s *Steerer) toTell(all bool) (list []*backend) {
+func (s *Steerer) suspectsToReport(all bool) (list []*backend) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for b, changed := range s.suspects {
@@ -133,7 +133,7 @@
 	return list
 }
 
-func (s *Steerer) unsuspect(over []*backend) {
+func (s *Steerer) removeSuspects(over []*backend) {
 	if len(over) == 0 {
 		return
 	}
@@ -167,10 +167,10 @@
 		}
 	}
 	slices.SortFunc(list, Report.compare)
-	if !b.tellsAnswer(len(list) > 0, at) {
-		return list[:min(len(list), toldReporters)], later
+	if !b.shouldReportAnswer(len(list) > 0, at) {
+		return list[:min(len(list), maxReportsPerServer)], later
 	}
-	list = list[:min(len(list), toldReporters-1)]
+	list = list[:min(len(list), maxReportsPerServer-1)]
 	answer := Report{Server: b.shortID, Node: s.Node, SameZone: near, Answered: true, Last: at - b.lastAnswer()}
 	return append(list, answer), later
 }
@@ -178,7 +178,7 @@
 // tellsAnswer reports whether others are to be told when the server last answered: if it
 // was said lately that it doesn't, and beside findings that are newer than its answer only
 // if that contradicts others. The caller holds the lock.
-func (b *backend) tellsAnswer(found bool, at time.Duration) bool {
+func (b *backend) shouldReportAnswer(found bool, at time.Duration) bool {
 	if !b.reported || b.lastAnswer() == 0 || at-b.lastAnswer() >= suspicionTimeout {
 		return false
 	}
@@ -215,14 +215,14 @@
 	for i := range reports {
 		for _, m := range k.members {
 			if m.backend.shortID == reports[i].Server {
-				s.takeReport(m.backend, &reports[i], len(k.members), at)
+				s.mergeReport(m.backend, &reports[i], len(k.members), at)
 			}
 		}
 	}
 }
 
 // takeReport takes in one report; servers is how many there are.
-func (s *Steerer) takeReport(b *backend, r *Report, servers int, at time.Duration) {
+func (s *Steerer) mergeReport(b *backend, r *Report, servers int, at time.Duration) {
 	if r.Node == s.Node || r.Last < 0 || r.Last >= suspicionTimeout {
 		return
 	}
@@ -234,6 +234,6 @@
 		news = s.mergeFinding(b, r, at)
 	}
 	if news {
-		s.suspect(b)
+		s.queueReport(b)
 	}
 }
--- a/bronzesteer/report_test.go
+++ b/bronzesteer/report_test.go
@@ -201,7 +201,7 @@
 			s.node.HasNewReports()
 			s.node.MergeReports([]Report{report}, s.now)
 			require.False(t, s.node.HasNewReports(), "told twice")
-			require.LessOrEqual(t, len(s.node.Reports(true, s.now)), toldReporters)
+			require.LessOrEqual(t, len(s.node.Reports(true, s.now)), maxReportsPerServer)
 			s.pass(time.Duration(rapid.IntRange(0, 100).Draw(r, "MS")) * time.Millisecond)
 		}
 		s.pass(suspicionTimeout + time.Second)
--- a/bronzesteer/restart.go
+++ b/bronzesteer/restart.go
@@ -32,14 +32,14 @@
 
 // moveTo makes another entry the flow's.
 func (f *flow) moveTo(to *backend) {
-	f.finish()
-	f.askedAt = 0
+	f.finishRequest()
+	f.requestAt = 0
 	if f.open {
 		f.backend.addFlows(-1)
 		to.addFlows(1)
 	} else {
-		f.backend.addOpening(-1)
-		to.addOpening(1)
+		f.backend.addOpenings(-1)
+		to.addOpenings(1)
 	}
 	f.backend = to
 }
--- a/bronzesteer/status.go
+++ b/bronzesteer/status.go
@@ -37,8 +37,8 @@
 			Status: server.Status.String(), Avoided: s.avoids(b, at), Silent: s.unresponsive(b, false, at),
 		}
 		b.mu.Lock()
-		status.Flows, status.Work, status.Openings = b.flows, b.work, b.opening
-		status.Rate, status.OthersRate, status.LatencyMS = b.rate, b.others, b.latency.Milliseconds()
+		status.Flows, status.Work, status.Openings = b.flows, b.inFlight, b.openings
+		status.Rate, status.OthersRate, status.LatencyMS = b.rate, b.peerRate, b.latency.Milliseconds()
 		b.mu.Unlock()
 		list = append(list, status)
 	}
--- a/bronzesteer/steer.go
+++ b/bronzesteer/steer.go
@@ -40,7 +40,7 @@
 	shards [shardCount]shard
 
 	admission bronzepool.Admission
-	hedges    hedges
+	hedges    hedgeQueue
 	health    localHealth
 	// unsure says that the node stood still and its records weren't confirmed since.
 	recordsUnconfirmed atomic.Bool
@@ -50,12 +50,12 @@
 
 	mu        sync.Mutex
 	zones     map[string]*zone
-	nodes     map[string]nodeLoads
+	peerLoads map[string]peerLoads
 	poolStats map[string]*poolStats
 	suspects  suspects
 	// blamed are the servers that each other node has found silent of late.
 	reportedBy map[uint32]reportedServers
-	trials     trials
+	probes     probeTargets
 	accounts   map[netip.AddrPort]*account
 	// exemptLimits counts the openings that aren't turned away where others are.
 	exemptLimits map[netip.AddrPort]*rate.Limiter
@@ -63,15 +63,15 @@
 	ownZone *zone
 
 	// news says that there is something for Reports to tell that was not taken yet.
-	news atomic.Bool
+	newReports atomic.Bool
 
 	// others is how many nodes there are beside this one.
 	peers atomic.Int64
 	near  nearNodes
 	// told is what other nodes are told of this one's loads.
-	told atomic.Pointer[[]Load]
+	ownLoads atomic.Pointer[[]Load]
 	// loadsAt is when loads were last brought up to date; Sweep alone uses it.
-	loadsAt time.Duration
+	loadsUpdatedAt time.Duration
 }
 
 // Event is a change of what this node believes of a server.
@@ -129,7 +129,7 @@
 	s.once.Do(func() {
 		s.start = time.Now()
 		s.zones = make(map[string]*zone)
-		s.nodes = make(map[string]nodeLoads)
+		s.peerLoads = make(map[string]peerLoads)
 		s.poolStats = make(map[string]*poolStats)
 		s.suspects = make(suspects)
 		s.reportedBy = make(map[uint32]reportedServers)
@@ -195,7 +195,7 @@
 	if d, ok := s.refusal(k, route, p, c, now); ok {
 		return d
 	}
-	if t, ok := s.trial(k, c, p, now); ok {
+	if t, ok := s.probe(k, c, p, now); ok {
 		c, server = t, t.server
 	}
 	token := v.Token(service, server)
@@ -206,9 +206,9 @@
 			account: account, backend: c.backend, token: token,
 			idempotent: route.Idempotent, openedAt: at, seenAt: at,
 		}
-		f.backend.addOpening(1)
+		f.backend.addOpenings(1)
 		sh.flows[p.Key] = f
-		s.expect(f, p, at)
+		s.scheduleHedge(f, p, at)
 	}
 	return d
 }
@@ -268,7 +268,7 @@
 	}
 	if p.Retransmits > 0 {
 		s.health.recordDelay(at)
-		f.dropOpening()
+		f.dropPending()
 	}
 	return true
 }
@@ -316,7 +316,7 @@
 	case server.Status == bronzeroute.Gone && s.recordsUnconfirmed.Load():
 		return Decision{Reason: Unsure}
 	case server.Status == bronzeroute.Gone:
-		sh.end(p.Key)
+		sh.remove(p.Key)
 		return Decision{Kind: End, Reason: ServerGone, Tried: server}
 	}
 	b := k.backendOf(server, f)
@@ -332,13 +332,13 @@
 		opened = at - f.openedAt
 		hedge = f.settle(b, at)
 	}
-	s.note(f, b, token, p, at)
-	if f.idempotent && p.Length > 0 && s.unresponsive(b, f.struck, at) {
-		sh.end(p.Key)
+	s.observePacket(f, b, token, p, at)
+	if f.idempotent && p.Length > 0 && s.unresponsive(b, f.countedUnanswered, at) {
+		sh.remove(p.Key)
 		return Decision{Kind: End, Reason: ServerSilent, Tried: server}
 	}
 	if p.Abort {
-		sh.end(p.Key)
+		sh.remove(p.Key)
 	}
 	return Decision{Kind: Forward, Reason: Steered, Server: server, Token: token, HandshakeTime: opened, Hedge: hedge}
 }
--- a/bronzesteer/steer_test.go
+++ b/bronzesteer/steer_test.go
@@ -64,7 +64,7 @@
 	c.packet.Key = bronzeflow.NewKey(bronzeflow.TCP, c.packet.Key.CallerAddrPort(), netip.MustParseAddrPort("198.18.0.9:443"))
 	require.Equal(t, Decision{Kind: Drop, Reason: NoRoute}, c.ask())
 	c = s.serve(live)
-	s.node.shard(&c.packet).end(c.packet.Key)
+	s.node.shard(&c.packet).remove(c.packet.Key)
 	c.packet.Token ^= 1
 	require.Equal(t, Decision{Kind: Drop, Reason: TokenUnknown}, c.ask(), "a server that it doesn't know yet")
 }
@@ -267,7 +267,7 @@
 	}
 	_, d := s.open(live)
 	require.Equal(t, bronzepool.NodeHalfOpenDenied, d.TrackingDenial)
-	s.pass(openingFor + time.Second)
+	s.pass(openingTimeout + time.Second)
 	_, d = s.open(live)
 	require.Equal(t, bronzepool.Admitted, d.TrackingDenial)
 	require.Equal(t, 1, s.node.Flows())
--- a/bronzesteer/view_bench_test.go
+++ b/bronzesteer/view_bench_test.go
@@ -46,7 +46,7 @@
 				s.SetPeerCount(489)
 				now := s.start
 				for b.Loop() {
-					now = now.Add(loadsEvery)
+					now = now.Add(loadInterval)
 					s.Sweep(now)
 				}
 			})
--- a/bronzesteer/zones_test.go
+++ b/bronzesteer/zones_test.go
@@ -49,7 +49,7 @@
 	_, d := s.open(live)
 	require.Equal(t, "a", d.Server.AvailabilityZone)
 	s.drain("a")
-	s.pass(hedgeUnknown)
+	s.pass(defaultHedgeDelay)
 	hedges := s.node.Hedges(s.now)
 	require.Len(t, hedges, 1)
 	require.Equal(t, "b", hedges[0].Decision.Server.AvailabilityZone)
