--- a/bronzesteer/flow.go
+++ b/bronzesteer/flow.go
@@ -184,7 +184,7 @@
 	if k == nil {
 		return nil
 	}
-	at := s.since(now)
+	at := s.sinceStart(now)
 	s.signalQueuedReports()
 	lost := s.failedServers(at)
 	if at-s.loadsUpdatedAt >= loadInterval {
--- a/bronzesteer/hedge.go
+++ b/bronzesteer/hedge.go
@@ -133,7 +133,7 @@
 	if k == nil {
 		return nil
 	}
-	at := s.since(now)
+	at := s.sinceStart(now)
 	for _, o := range s.hedges.popDue(at) {
 		if h, ok := s.hedge(k, o, at, now); ok {
 			list = append(list, h)
@@ -160,7 +160,7 @@
 		return h, false
 	}
 	// A pool that has too much to do isn't given more.
-	takes := time.Duration(next.atWork * float64(next.backend.stats.serviceTime()))
+	takes := time.Duration(next.inFlightPerSlot * float64(next.backend.stats.serviceTime()))
 	if shedFraction(takes, route.Objective) > 0 || !s.hedges.takeBudget() {
 		return h, false
 	}
--- a/bronzesteer/load.go
+++ b/bronzesteer/load.go
@@ -82,7 +82,7 @@
 	s.init()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.peerLoads[node] = peerLoads{at: s.since(now), loads: loads}
+	s.peerLoads[node] = peerLoads{at: s.sinceStart(now), loads: loads}
 }
 
 // SetPeerCount tells how many nodes there are beside this one.
--- a/bronzesteer/pause.go
+++ b/bronzesteer/pause.go
@@ -22,7 +22,7 @@
 // to refuse are dropped, and their callers repeat them.
 func (s *Steerer) Paused(now time.Time) (aside Discarded) {
 	s.init()
-	at := s.since(now)
+	at := s.sinceStart(now)
 	s.health.suspend(at)
 	s.recordsUnconfirmed.Store(true)
 	s.hedges.clear()
--- a/bronzesteer/place_test.go
+++ b/bronzesteer/place_test.go
@@ -77,9 +77,9 @@
 	const slots = 2
 	for _, server := range s.node.View().Servers {
 		if server.AvailabilityZone == "a" {
-			require.InDelta(t, 10+slots*zoneLead*2/3, byServer[server.Instance], 1)
+			require.InDelta(t, 10+slots*maxZoneLead*2/3, byServer[server.Instance], 1)
 		} else {
-			require.InDelta(t, 10-slots*zoneLead/3, byServer[server.Instance], 1)
+			require.InDelta(t, 10-slots*maxZoneLead/3, byServer[server.Instance], 1)
 		}
 	}
 }
@@ -207,7 +207,7 @@
 	}}}, s.now)
 	s.node.SetView(s.directory.View())
 	b := s.node.state.Load().backendOf(s.node.View().ByName("b-0"), nil)
-	s.node.recordUnanswered(b, s.node.since(s.now), s.node.since(s.now), openingWeight)
+	s.node.recordUnanswered(b, s.node.sinceStart(s.now), s.node.sinceStart(s.now), openingWeight)
 	for range 10 {
 		c, _ := s.open(live)
 		require.Equal(t, "a", c.server.AvailabilityZone)
@@ -317,9 +317,9 @@
 	require.Equal(t, 50*time.Millisecond, usual)
 	b.peerRate = unqueuedUtilization * float64(b.slots) / usual.Seconds()
 	before := b.latency
-	b.observeLatency(3*time.Millisecond, s.node.since(s.now))
+	b.observeLatency(3*time.Millisecond, s.node.sinceStart(s.now))
 	require.Less(t, b.latency, before)
 	b.peerRate, b.rate = 0, 1
-	b.observeLatency(3*time.Millisecond, s.node.since(s.now))
+	b.observeLatency(3*time.Millisecond, s.node.sinceStart(s.now))
 	require.Greater(t, b.latency, before)
 }
--- a/bronzesteer/pool.go
+++ b/bronzesteer/pool.go
@@ -112,7 +112,7 @@
 }
 
 func (u *usage) add(c *candidate) {
-	u.used += c.used * c.slots
+	u.used += c.utilization * c.slots
 	u.slots += c.slots
 }
 
--- a/bronzesteer/pool_test.go
+++ b/bronzesteer/pool_test.go
@@ -65,7 +65,7 @@
 func TestRequestsAtWorkCountAtOnceInALargePool(t *testing.T) {
 	s := newSite(t, 100)
 	p := s.node.state.Load().pools["live"]
-	at := s.node.since(s.now)
+	at := s.node.sinceStart(s.now)
 	sum := s.node.summary(p, at, s.now)
 	require.Zero(t, sum.inFlight.perSlot())
 	for range 50 {
--- a/bronzesteer/probe.go
+++ b/bronzesteer/probe.go
@@ -56,10 +56,10 @@
 		return c, false
 	}
 	server := k.view.ByName(b.instance)
-	if server == nil || server.Status != bronzeroute.Serving || s.isLimited(server, now) {
+	if server == nil || server.Status != bronzeroute.Serving || s.isRateLimited(server, now) {
 		return c, false
 	}
-	return choice{server: server, backend: b, tier: chosen.tier, atWork: chosen.atWork}, true
+	return choice{server: server, backend: b, tier: chosen.tier, inFlightPerSlot: chosen.inFlightPerSlot}, true
 }
 
 // takeTrial takes one of the pool's servers that are to be tried, nil if there is none.
--- a/bronzesteer/refuse.go
+++ b/bronzesteer/refuse.go
@@ -28,13 +28,13 @@
 	if p.Retransmits > 0 {
 		return d, false
 	}
-	takes := time.Duration(c.atWork * float64(c.backend.stats.serviceTime()))
+	takes := time.Duration(c.inFlightPerSlot * float64(c.backend.stats.serviceTime()))
 	part := shedFraction(takes, route.Objective)
 	d = Decision{Kind: End, Tried: c.server, ExpectedDelay: takes}
 	switch {
-	case c.tier <= tierAvoided && s.noneAnswers(k, route, s.since(now)):
+	case c.tier <= tierAvoided && s.noneAnswers(k, route, s.sinceStart(now)):
 		d.Reason = NoneAnswers
-	case part > 0 && s.chance() < part:
+	case part > 0 && s.randomFloat() < part:
 		d.Reason = Overloaded
 	default:
 		return d, false
@@ -64,7 +64,7 @@
 			switch {
 			case m.server.ZoneDrained && !m.server.Draining:
 				r = ZoneDrained
-			case m.server.Status == bronzeroute.Serving && s.isLimited(m.server, now):
+			case m.server.Status == bronzeroute.Serving && s.isRateLimited(m.server, now):
 				return ServersCold
 			}
 		}
--- a/bronzesteer/report.go
+++ b/bronzesteer/report.go
@@ -54,7 +54,7 @@
 // called, or all there is. If that is too much, it is some of it.
 func (s *Steerer) Reports(all bool, now time.Time) (list []Report) {
 	s.init()
-	at := s.since(now)
+	at := s.sinceStart(now)
 	var over []*backend
 	for _, b := range s.suspectsToReport(all) {
 		told, later := s.reportsOf(b, at)
@@ -211,7 +211,7 @@
 	if k == nil || len(reports) == 0 {
 		return
 	}
-	at := s.since(now)
+	at := s.sinceStart(now)
 	for i := range reports {
 		for _, m := range k.members {
 			if m.backend.shortID == reports[i].Server {
--- a/bronzesteer/shed.go
+++ b/bronzesteer/shed.go
@@ -109,10 +109,10 @@
 	if c.tier <= tierAvoided {
 		return
 	}
-	w.own += c.work
+	w.own += c.inFlight
 	w.slots += c.slots
 	w.ownRate += c.rate
-	w.rate += c.rate + c.others
+	w.rate += c.rate + c.peerRate
 }
 
 // perSlot returns how many requests there are for each slot. Those that came since
--- a/bronzesteer/status.go
+++ b/bronzesteer/status.go
@@ -29,7 +29,7 @@
 	if k == nil {
 		return nil
 	}
-	at := s.since(now)
+	at := s.sinceStart(now)
 	for _, m := range k.members {
 		server, b := m.server, m.backend
 		status := ServerStatus{
--- a/bronzesteer/steer.go
+++ b/bronzesteer/steer.go
@@ -66,8 +66,8 @@
 	newReports atomic.Bool
 
 	// others is how many nodes there are beside this one.
-	peers atomic.Int64
-	near  nearNodes
+	peers     atomic.Int64
+	zonePeers zonePeers
 	// told is what other nodes are told of this one's loads.
 	ownLoads atomic.Pointer[[]Load]
 	// loadsAt is when loads were last brought up to date; Sweep alone uses it.
@@ -145,7 +145,7 @@
 }
 
 // since returns a time as the distance from this Steerer's start.
-func (s *Steerer) since(now time.Time) time.Duration {
+func (s *Steerer) sinceStart(now time.Time) time.Duration {
 	return now.Sub(s.start)
 }
 
@@ -166,26 +166,26 @@
 	case p.Returned, p.Open && p.Accept:
 		return Decision{Reason: NotACaller}
 	case p.Open:
-		return s.open(k, p, now)
+		return s.placeOpening(k, p, now)
 	default:
-		return s.steer(k, p, now)
+		return s.forwardByToken(k, p, now)
 	}
 }
 
 // open places an opening, or a copy of one.
-func (s *Steerer) open(k *viewState, p *Packet, now time.Time) Decision {
+func (s *Steerer) placeOpening(k *viewState, p *Packet, now time.Time) Decision {
 	v := k.view
 	service := p.Key.ServiceAddrPort()
 	route := v.Route(service)
 	if route == nil {
-		return s.byRecords(Decision{Kind: End, Reason: NoRoute})
+		return s.ifConfirmed(Decision{Kind: End, Reason: NoRoute})
 	}
-	at := s.since(now)
+	at := s.sinceStart(now)
 	sh := s.shard(p)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	if f := sh.flows[p.Key]; f != nil {
-		return s.repeat(k, route, f, p, at, now)
+		return s.handleRetransmit(k, route, f, p, at, now)
 	}
 	c := s.place(k, route, p, nil, at, now)
 	server := c.server
@@ -216,21 +216,21 @@
 // repeat handles a further opening of a flow that this node has placed. The
 // first server is asked again if it has answered anybody since, because then
 // a packet got lost; otherwise another one is.
-func (s *Steerer) repeat(k *viewState, route *bronzeroute.Route, f *flow, p *Packet, at time.Duration, now time.Time) Decision {
+func (s *Steerer) handleRetransmit(k *viewState, route *bronzeroute.Route, f *flow, p *Packet, at time.Duration, now time.Time) Decision {
 	v := k.view
 	f.seenAt = at
 	server := v.ByName(f.backend.instance)
 	if f.open {
 		if server == nil || server.Status == bronzeroute.Gone {
-			return s.byRecords(Decision{Kind: End, Reason: ServerGone})
+			return s.ifConfirmed(Decision{Kind: End, Reason: ServerGone})
 		}
 		return Decision{Kind: Forward, Reason: Repeated, Server: server, Token: f.token}
 	}
-	if server != nil && server.Status == bronzeroute.Serving && s.cameTogether(f, p, at) {
-		return s.again(server, f, at, now)
+	if server != nil && server.Status == bronzeroute.Serving && s.arrivedTogether(f, p, at) {
+		return s.resend(server, f, at, now)
 	}
 	if server != nil && server.Status == bronzeroute.Serving && f.backend.answeredSince(f.sentAt(f.openedAt)) {
-		return s.again(server, f, at, now)
+		return s.resend(server, f, at, now)
 	}
 	s.recordUnanswered(f.backend, f.sentAt(f.openedAt), at, openingWeight)
 	next := s.place(k, route, p, f.backend, at, now)
@@ -238,7 +238,7 @@
 		if server == nil || server.Status == bronzeroute.Gone {
 			return Decision{Kind: End, Reason: NoServer}
 		}
-		return s.again(server, f, at, now)
+		return s.resend(server, f, at, now)
 	}
 	f.retry(next, v.Token(route.Service, next.server), at)
 	return Decision{Kind: Forward, Reason: Retried, Server: next.server, Token: f.token, Tried: server}
@@ -246,11 +246,11 @@
 
 // again sends a copy of an opening to the server that has the first, unless that may take
 // none: the first may have reached it, so that the copy is dropped and not refused.
-func (s *Steerer) again(server *bronzeroute.Server, f *flow, at time.Duration, now time.Time) Decision {
+func (s *Steerer) resend(server *bronzeroute.Server, f *flow, at time.Duration, now time.Time) Decision {
 	switch {
 	case server.ZoneDrained:
 		return Decision{Reason: ZoneDrained, Tried: server}
-	case s.isLimited(server, now) && !s.takeWarm(server, f.backend, at):
+	case s.isRateLimited(server, now) && !s.takeColdSend(server, f.backend, at):
 		return Decision{Reason: ServersCold, Tried: server}
 	default:
 		return Decision{Kind: Forward, Reason: Repeated, Server: server, Token: f.token}
@@ -262,7 +262,7 @@
 // node that stood still or had too much to do, the packets that waited are openings whose
 // callers have long gone elsewhere: none of the servers that these are sent to is ever
 // gone on with, and all would be taken for silent.
-func (s *Steerer) cameTogether(f *flow, p *Packet, at time.Duration) bool {
+func (s *Steerer) arrivedTogether(f *flow, p *Packet, at time.Duration) bool {
 	if at-f.openedAt >= minRetransmitGap {
 		return false
 	}
@@ -275,7 +275,7 @@
 
 // byRecords returns the decision to refuse a packet for what records say, or to drop it
 // while they are in doubt.
-func (s *Steerer) byRecords(d Decision) Decision {
+func (s *Steerer) ifConfirmed(d Decision) Decision {
 	if s.recordsUnconfirmed.Load() {
 		return Decision{Reason: Unsure}
 	}
@@ -283,17 +283,17 @@
 }
 
 // steer sends a packet of an established flow where its token says.
-func (s *Steerer) steer(k *viewState, p *Packet, now time.Time) Decision {
+func (s *Steerer) forwardByToken(k *viewState, p *Packet, now time.Time) Decision {
 	v := k.view
 	service := p.Key.ServiceAddrPort()
 	route := v.Route(service)
 	if route == nil {
 		if v.Withdrawn(service) {
-			return s.byRecords(Decision{Kind: End, Reason: RouteWithdrawn})
+			return s.ifConfirmed(Decision{Kind: End, Reason: RouteWithdrawn})
 		}
 		return Decision{Reason: NoRoute}
 	}
-	at := s.since(now)
+	at := s.sinceStart(now)
 	sh := s.shard(p)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
@@ -304,7 +304,7 @@
 		// goes on with the one whose acceptance came first; that of the other
 		// may still change what the caller sends back.
 		token = f.token
-		s.acceptedToo(k, f, p, at)
+		s.recordLateAccept(k, f, p, at)
 	}
 	if token == 0 {
 		return Decision{Reason: NoToken}
@@ -345,7 +345,7 @@
 
 // acceptedToo takes in that a further server has accepted a flow's opening, which shows
 // in the token that the caller sends back: it was late, not silent.
-func (s *Steerer) acceptedToo(k *viewState, f *flow, p *Packet, at time.Duration) {
+func (s *Steerer) recordLateAccept(k *viewState, f *flow, p *Packet, at time.Duration) {
 	if p.Token == f.token || p.Token == 0 {
 		return
 	}
--- a/bronzesteer/view_bench_test.go
+++ b/bronzesteer/view_bench_test.go
@@ -78,7 +78,7 @@
 			s := newSite(&testing.T{}, n/2, n/2)
 			p := s.node.state.Load().pools["live"]
 			b.ReportAllocs()
-			at := s.node.since(s.now)
+			at := s.node.sinceStart(s.now)
 			for b.Loop() {
 				at += summaryMaxAge
 				s.node.summary(p, at, s.now)
--- a/bronzesteer/warmup.go
+++ b/bronzesteer/warmup.go
@@ -23,24 +23,24 @@
 	// warmupNodes is how many nodes share what a cold server bears. Each may send one at
 	// any moment, all of them in the same second, which has to stay within what the
 	// server is allowed in excess.
-	warmupNodes = 3
+	warmupSenders = 3
 	// warmupPart is the part of it that they share. The rest is for nodes whose names
 	// some haven't heard yet, and for what flows ask that were opened just before.
-	warmupPart = 0.7
+	warmupFraction = 0.7
 	// namesSettle is for how long a node must have heard no new name. A node hears some
 	// of them each second, new ones the more rarely the fewer are missing.
-	namesSettle = 5 * time.Second
+	peersSettleTime = 5 * time.Second
 )
 
 // nearNodes are the names of the other nodes of this node's zone, those that aren't there
 // any more among them for some minutes. All methods may be called concurrently.
-type nearNodes struct {
+type zonePeers struct {
 	mu    sync.Mutex
 	names []string
 	// known says that the node knows of others, or can't have heard of any.
 	known bool
 	// grewAt is when a name was last added.
-	grewAt time.Duration
+	addedAt time.Duration
 	// version counts changes, for what is worked out from the names.
 	version uint64
 }
@@ -50,7 +50,7 @@
 // one that hears nobody can't tell.
 func (s *Steerer) SetZonePeers(names []string, known bool, now time.Time) {
 	s.init()
-	n := &s.near
+	n := &s.zonePeers
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.known = known
@@ -60,7 +60,7 @@
 	}
 	for _, name := range names {
 		if _, known := slices.BinarySearch(n.names, name); !known {
-			n.grewAt = s.since(now)
+			n.addedAt = s.sinceStart(now)
 		}
 	}
 	n.names = names
@@ -69,13 +69,13 @@
 
 // settled reports whether the node has heard all names, as far as it can know; the caller
 // holds the lock.
-func (n *nearNodes) settled(at time.Duration) bool {
-	return n.known && at >= n.grewAt+namesSettle && at >= namesSettle
+func (n *zonePeers) settled(at time.Duration) bool {
+	return n.known && at >= n.addedAt+peersSettleTime && at >= peersSettleTime
 }
 
 // isLimited reports whether the server may be given only what a cold one bears. A node that
 // stood still doesn't know which have started meanwhile.
-func (s *Steerer) isLimited(server *bronzeroute.Server, now time.Time) bool {
+func (s *Steerer) isRateLimited(server *bronzeroute.Server, now time.Time) bool {
 	return server.Warmup.RequestsPerSecond > 0 && (!server.Warm(now) || s.recordsUnconfirmed.Load())
 }
 
@@ -83,41 +83,41 @@
 type warmup struct {
 	// every is the pause between two openings, 0 if the node has no part, as of version
 	// of the names.
-	every   time.Duration
-	version uint64
-	known   bool
+	interval time.Duration
+	version  uint64
+	known    bool
 	// next is when the server may be sent the next.
-	next time.Duration
+	nextAt time.Duration
 }
 
 // mayWarm reports whether a cold server may be sent an opening at at.
-func (s *Steerer) mayWarm(server *bronzeroute.Server, b *backend, at time.Duration) bool {
-	every := s.warmupEvery(server, b, at)
+func (s *Steerer) canSendCold(server *bronzeroute.Server, b *backend, at time.Duration) bool {
+	every := s.coldInterval(server, b, at)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return every > 0 && at >= b.warmup.next
+	return every > 0 && at >= b.warmup.nextAt
 }
 
 // takeWarm takes the part of an opening that is sent to a cold server; ok is false if none
 // is left.
-func (s *Steerer) takeWarm(server *bronzeroute.Server, b *backend, at time.Duration) (ok bool) {
-	every := s.warmupEvery(server, b, at)
+func (s *Steerer) takeColdSend(server *bronzeroute.Server, b *backend, at time.Duration) (ok bool) {
+	every := s.coldInterval(server, b, at)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if every == 0 || at < b.warmup.next {
+	if every == 0 || at < b.warmup.nextAt {
 		return false
 	}
-	b.warmup.next = at + every
+	b.warmup.nextAt = at + every
 	return true
 }
 
 // warmupEvery returns the pause between two openings of this node at a cold server, 0 if it
 // is to send none.
-func (s *Steerer) warmupEvery(server *bronzeroute.Server, b *backend, at time.Duration) time.Duration {
+func (s *Steerer) coldInterval(server *bronzeroute.Server, b *backend, at time.Duration) time.Duration {
 	if server.AvailabilityZone != s.AvailabilityZone {
 		return 0
 	}
-	n := &s.near
+	n := &s.zonePeers
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !n.settled(at) {
@@ -127,13 +127,13 @@
 	defer b.mu.Unlock()
 	w := &b.warmup
 	if !w.known || w.version != n.version {
-		w.every, w.version, w.known = n.every(server, s.Name), n.version, true
+		w.interval, w.version, w.known = n.sendInterval(server, s.Name), n.version, true
 	}
-	return w.every
+	return w.interval
 }
 
 // every works out the pause between two openings of the node of a name.
-func (n *nearNodes) every(server *bronzeroute.Server, name string) time.Duration {
+func (n *zonePeers) sendInterval(server *bronzeroute.Server, name string) time.Duration {
 	own := warmupRank(server, name)
 	before := 0
 	for _, other := range n.names {
@@ -141,11 +141,11 @@
 			before++
 		}
 	}
-	if before >= warmupNodes {
+	if before >= warmupSenders {
 		return 0
 	}
-	nodes := min(warmupNodes, len(n.names)+1)
-	return time.Duration(float64(nodes) / (warmupPart * server.Warmup.RequestsPerSecond) * float64(time.Second))
+	nodes := min(warmupSenders, len(n.names)+1)
+	return time.Duration(float64(nodes) / (warmupFraction * server.Warmup.RequestsPerSecond) * float64(time.Second))
 }
 
 // warmupRank is a node's place in the order of those that may send to a cold server.
--- a/bronzesteer/warmup_test.go
+++ b/bronzesteer/warmup_test.go
@@ -86,7 +86,7 @@
 		}
 		n.tell(f.now)
 		n.start = f.now.Add(-time.Hour)
-		n.near.grewAt = 0
+		n.zonePeers.addedAt = 0
 	}
 	return f
 }
