--- a/bronzesteer/failure_test.go
+++ b/bronzesteer/failure_test.go
@@ -9,7 +9,7 @@
 )
 
 // atFirst returns the clients whose flows are at server a-0, and the others.
-func atFirst(clients []*client) (there, elsewhere []*client) {
+func splitAtFirstServer(clients []*client) (there, elsewhere []*client) {
 	for _, c := range clients {
 		if c.server.Instance == "a-0" {
 			there = append(there, c)
@@ -21,7 +21,7 @@
 }
 
 // load opens n flows and has each answered.
-func (s *site) load(n int, service netip.AddrPort) (clients []*client) {
+func (s *site) serveN(n int, service netip.AddrPort) (clients []*client) {
 	for range n {
 		clients = append(clients, s.serve(service))
 	}
@@ -30,13 +30,13 @@
 
 // fallSilent has the clients ask a server that answers nobody, while others
 // are answered elsewhere.
-func (s *site) fallSilent(stuck, others []*client) {
+func (s *site) stopAnswering(stuck, others []*client) {
 	for _, c := range stuck {
-		c.ask()
+		c.request()
 	}
 	for range 4 {
-		s.pass(50 * time.Millisecond)
-		s.round(others)
+		s.advance(50 * time.Millisecond)
+		s.exchange(others)
 	}
 }
 
@@ -45,17 +45,17 @@
 // are served by another server; a new caller isn't sent to the silent one.
 func TestCallersOfASilentServerAreSentElsewhere(t *testing.T) {
 	s := newSite(t, 4)
-	clients := s.load(16, live)
-	stuck, others := atFirst(clients)
+	clients := s.serveN(16, live)
+	stuck, others := splitAtFirstServer(clients)
 	require.GreaterOrEqual(t, len(stuck), minFailedFlows)
-	s.fallSilent(stuck, others)
+	s.stopAnswering(stuck, others)
 	for _, c := range stuck[:minFailedFlows-1] {
-		require.Equal(t, Forward, c.askAgain().Kind, "one silence proves nothing")
+		require.Equal(t, Forward, c.retransmitRequest().Kind, "one silence proves nothing")
 	}
-	require.Equal(t, End, stuck[minFailedFlows-1].askAgain().Kind)
-	s.pass(200 * time.Millisecond)
-	s.round(others)
-	d := stuck[0].askAgain()
+	require.Equal(t, End, stuck[minFailedFlows-1].retransmitRequest().Kind)
+	s.advance(200 * time.Millisecond)
+	s.exchange(others)
+	d := stuck[0].retransmitRequest()
 	require.Equal(t, End, d.Kind)
 	require.Equal(t, ServerSilent, d.Reason)
 	for range 20 {
@@ -68,14 +68,14 @@
 // good, and the server may have run them: the flow is left alone.
 func TestFlowsThatMustNotBeRepeatedAreNotEnded(t *testing.T) {
 	s := newSite(t, 4)
-	stuck, others := atFirst(s.load(16, outline))
-	s.fallSilent(stuck, others)
+	stuck, others := splitAtFirstServer(s.serveN(16, outline))
+	s.stopAnswering(stuck, others)
 	for range 3 {
 		for _, c := range stuck {
-			require.Equal(t, Forward, c.askAgain().Kind)
+			require.Equal(t, Forward, c.retransmitRequest().Kind)
 		}
-		s.pass(200 * time.Millisecond)
-		s.round(others)
+		s.advance(200 * time.Millisecond)
+		s.exchange(others)
 	}
 }
 
@@ -83,17 +83,17 @@
 // answers others meanwhile, so nothing is wrong with it.
 func TestLostPacketsDontMakeAServerSilent(t *testing.T) {
 	s := newSite(t, 2)
-	clients := s.load(12, live)
-	there, _ := atFirst(clients)
+	clients := s.serveN(12, live)
+	there, _ := splitAtFirstServer(clients)
 	lost, well := there[:4], there[4:]
 	for _, c := range lost {
-		c.ask()
+		c.request()
 	}
 	for range 5 {
-		s.pass(100 * time.Millisecond)
-		s.round(well)
+		s.advance(100 * time.Millisecond)
+		s.exchange(well)
 		for _, c := range lost {
-			require.Equal(t, Forward, c.askAgain().Kind)
+			require.Equal(t, Forward, c.retransmitRequest().Kind)
 		}
 	}
 }
@@ -102,16 +102,16 @@
 // again. Ending their flows would break hundreds that are well.
 func TestLateNodeEndsNoFlows(t *testing.T) {
 	s := newSite(t, 4)
-	clients := s.load(16, live)
+	clients := s.serveN(16, live)
 	stuck := clients[:15]
 	for _, c := range stuck {
-		c.ask()
+		c.request()
 	}
 	for range 6 {
-		s.pass(100 * time.Millisecond)
-		s.round(clients[15:])
+		s.advance(100 * time.Millisecond)
+		s.exchange(clients[15:])
 		for _, c := range stuck {
-			require.Equal(t, Forward, c.askAgain().Kind)
+			require.Equal(t, Forward, c.retransmitRequest().Kind)
 		}
 	}
 }
@@ -123,33 +123,33 @@
 // must not end their flows.
 func TestSilenceIsForgotten(t *testing.T) {
 	s := newSite(t, 4, 4)
-	own := s.load(8, live)
-	far := s.farFlows(8)
-	s.fallSilent(far, own)
+	own := s.serveN(8, live)
+	far := s.zoneBFlows(8)
+	s.stopAnswering(far, own)
 	for range 4 {
 		for _, c := range far {
-			c.askAgain()
+			c.retransmitRequest()
 		}
-		s.pass(100 * time.Millisecond)
-		s.round(own)
+		s.advance(100 * time.Millisecond)
+		s.exchange(own)
 	}
-	moved := s.farFlows(4)
-	require.Equal(t, End, moved[0].ask().Kind, "while the cut lasts")
+	moved := s.zoneBFlows(4)
+	require.Equal(t, End, moved[0].request().Kind, "while the cut lasts")
 
 	for range 12 {
-		s.pass(500 * time.Millisecond)
-		s.round(own)
+		s.advance(500 * time.Millisecond)
+		s.exchange(own)
 	}
 	for _, status := range s.node.Servers(s.now) {
 		require.False(t, status.Avoided, "new flows go to %s again", status.Instance)
 	}
-	for _, c := range s.farFlows(4) {
-		require.Equal(t, Forward, c.ask().Kind, "after the cut")
+	for _, c := range s.zoneBFlows(4) {
+		require.Equal(t, Forward, c.request().Kind, "after the cut")
 	}
 }
 
 // farFlows returns flows at the servers of zone b that another node placed.
-func (s *site) farFlows(n int) (clients []*client) {
+func (s *site) zoneBFlows(n int) (clients []*client) {
 	v := s.node.View()
 	for i := range n {
 		c, _ := s.open(live)
@@ -168,26 +168,26 @@
 // for the first time in a while: the flow must go on.
 func TestTwoCrashesAreNoCutOfTheirZone(t *testing.T) {
 	s := newSite(t, 4, 4)
-	own := s.load(8, live)
-	s.pass(time.Second)
+	own := s.serveN(8, live)
+	s.advance(time.Second)
 	var crashed, well []*client
-	for _, c := range s.farFlows(8) {
+	for _, c := range s.zoneBFlows(8) {
 		if c.server.Instance == "b-0" || c.server.Instance == "b-1" {
 			crashed = append(crashed, c)
 		} else {
 			well = append(well, c)
 		}
 	}
-	s.fallSilent(crashed, own)
+	s.stopAnswering(crashed, own)
 	for range 4 {
 		for _, c := range crashed {
-			c.askAgain()
+			c.retransmitRequest()
 		}
-		s.pass(100 * time.Millisecond)
-		s.round(own)
+		s.advance(100 * time.Millisecond)
+		s.exchange(own)
 	}
 	for _, c := range well {
-		require.Equal(t, Forward, c.ask().Kind)
+		require.Equal(t, Forward, c.request().Kind)
 	}
 }
 
@@ -197,19 +197,19 @@
 // left alone, because only the server knows whether it ran.
 func TestIdleFlowsOfADeadServerAreEnded(t *testing.T) {
 	s := newSite(t, 4)
-	idle, _ := atFirst(s.load(8, outline))
-	clients := s.load(16, live)
-	stuck, others := atFirst(clients)
-	working, _ := atFirst(s.load(8, outline))
-	working[0].ask()
-	s.fallSilent(stuck, others)
-	working[0].askAgain()
+	idle, _ := splitAtFirstServer(s.serveN(8, outline))
+	clients := s.serveN(16, live)
+	stuck, others := splitAtFirstServer(clients)
+	working, _ := splitAtFirstServer(s.serveN(8, outline))
+	working[0].request()
+	s.stopAnswering(stuck, others)
+	working[0].retransmitRequest()
 	for _, c := range stuck {
-		c.askAgain()
+		c.retransmitRequest()
 	}
 	for range 4 {
-		s.pass(150 * time.Millisecond)
-		s.round(others[:1])
+		s.advance(150 * time.Millisecond)
+		s.exchange(others[:1])
 	}
 
 	ended := map[uint16]bool{}
--- a/bronzesteer/fleet_test.go
+++ b/bronzesteer/fleet_test.go
@@ -16,18 +16,18 @@
 	flows  [][]*client
 	random *rand.Rand
 	// liars is how many of them, the last, say what they like.
-	liars int
+	faulty int
 }
 
 // newFleet returns a fleet whose nodes all have idle flows at all servers.
 func newFleet(t *testing.T, nodes, liars, servers int, seed uint64) *fleet {
-	f := &fleet{random: rand.New(rand.NewPCG(seed, 1)), liars: liars}
+	f := &fleet{random: rand.New(rand.NewPCG(seed, 1)), faulty: liars}
 	for i := range nodes {
 		s := newSite(t, servers)
 		s.node.Node = uint32(i + 1)
 		s.node.Random = f.random.IntN
 		s.node.SetPeerCount(nodes - 1)
-		f.flows = append(f.flows, s.load(3*servers, outline))
+		f.flows = append(f.flows, s.serveN(3*servers, outline))
 		f.sites = append(f.sites, s)
 	}
 	for _, s := range f.sites {
@@ -37,23 +37,23 @@
 }
 
 // honest are the nodes that tell what they see.
-func (f *fleet) honest() []*site { return f.sites[:len(f.sites)-f.liars] }
+func (f *fleet) correct() []*site { return f.sites[:len(f.sites)-f.faulty] }
 
 // step lets some time pass, in which each node serves a new caller and one that it knows,
 // and tells three others what is new.
 func (f *fleet) step(lies func() []Report) {
 	for i, s := range f.sites {
 		s.serve(live)
-		s.round(f.flows[i][f.random.IntN(len(f.flows[i])):][:1])
+		s.exchange(f.flows[i][f.random.IntN(len(f.flows[i])):][:1])
 		reports := s.node.Reports(false, s.now)
-		if i >= len(f.sites)-f.liars {
+		if i >= len(f.sites)-f.faulty {
 			reports = lies()
 		}
 		for range gossipFanout {
 			to := f.sites[f.random.IntN(len(f.sites))]
 			to.node.MergeReports(reports, to.now)
 		}
-		s.pass(50 * time.Millisecond)
+		s.advance(50 * time.Millisecond)
 	}
 }
 
@@ -80,7 +80,7 @@
 		for range 40 {
 			f.step(lies)
 		}
-		for _, s := range f.honest() {
+		for _, s := range f.correct() {
 			require.Empty(r, s.endings)
 		}
 	})
--- a/bronzesteer/hang_test.go
+++ b/bronzesteer/hang_test.go
@@ -12,23 +12,23 @@
 // one of which hangs: it accepts openings, takes requests, and answers none.
 type callers struct {
 	*site
-	hangs string
+	hanging string
 	// late says that answers are acknowledged only with the next request.
-	late    bool
-	waiting []*client
-	byName  map[string]int
+	lateAcks bool
+	waiting  []*client
+	byName   map[string]int
 }
 
 // come has some callers open a flow and ask, and those answered 60 ms ago acknowledge it.
-func (c *callers) come(n int) {
+func (c *callers) arrive(n int) {
 	for range n {
 		client, d := c.open(live)
 		require.Equal(c.t, Forward, d.Kind)
 		c.byName[client.server.Instance]++
 		client.accept()
-		client.ask()
+		client.request()
 		c.waiting = append(c.waiting, client)
-		c.pass(20 * time.Millisecond)
+		c.advance(20 * time.Millisecond)
 		if len(c.waiting) > 3 {
 			c.acknowledge(c.waiting[0])
 			c.waiting = c.waiting[1:]
@@ -38,20 +38,20 @@
 
 func (c *callers) acknowledge(client *client) {
 	switch {
-	case client.server.Instance == c.hangs:
-	case c.late:
+	case client.server.Instance == c.hanging:
+	case c.lateAcks:
 		client.packet.Sequence += uint32(client.packet.Length)
 		client.packet.Acknowledged += 1000
 		client.send()
 	default:
-		client.answered()
+		client.acknowledge()
 	}
 }
 
 func newCallers(t *testing.T) *callers {
 	c := &callers{site: newSite(t, 4), byName: make(map[string]int)}
 	c.node.Random = rand.New(rand.NewPCG(5, 6)).IntN
-	c.come(80)
+	c.arrive(80)
 	clear(c.byName)
 	return c
 }
@@ -62,10 +62,10 @@
 // to do, as it seems, and gets its part of the callers and more.
 func TestAServerThatHangsLooksSlow(t *testing.T) {
 	c := newCallers(t)
-	c.hangs = "a-0"
-	c.come(40)
+	c.hanging = "a-0"
+	c.arrive(40)
 	clear(c.byName)
-	c.come(80)
+	c.arrive(80)
 	require.LessOrEqual(t, c.byName["a-0"], 4, "a quarter of the callers would be 20")
 	require.Empty(t, c.endings, "nothing is ended for it")
 }
@@ -73,12 +73,12 @@
 // It is well again. What counted against it fades, and it gets its part.
 func TestAServerThatNoLongerHangsIsForgiven(t *testing.T) {
 	c := newCallers(t)
-	c.hangs = "a-0"
-	c.come(40)
-	c.hangs = ""
-	c.come(1000)
+	c.hanging = "a-0"
+	c.arrive(40)
+	c.hanging = ""
+	c.arrive(1000)
 	clear(c.byName)
-	c.come(80)
+	c.arrive(80)
 	require.GreaterOrEqual(t, c.byName["a-0"], 10)
 }
 
@@ -86,9 +86,9 @@
 // missing for as long as its caller has nothing to ask. No server counts as slow for it.
 func TestAnswersThatShowLateAreNotMissing(t *testing.T) {
 	c := newCallers(t)
-	c.late = true
-	c.come(200)
-	c.pass(2 * time.Second)
+	c.lateAcks = true
+	c.arrive(200)
+	c.advance(2 * time.Second)
 	for _, status := range c.node.Servers(c.now) {
 		require.Less(t, status.LatencyMS, int64(100))
 	}
--- a/bronzesteer/harness_test.go
+++ b/bronzesteer/harness_test.go
@@ -72,7 +72,7 @@
 }
 
 // pass lets time pass, with the node's sweeps.
-func (s *site) pass(d time.Duration) {
+func (s *site) advance(d time.Duration) {
 	const step = 50 * time.Millisecond
 	for ; d > 0; d -= step {
 		s.now = s.now.Add(min(step, d))
@@ -105,7 +105,7 @@
 }
 
 // repeat sends the opening again.
-func (c *client) repeat() Decision {
+func (c *client) retransmit() Decision {
 	c.packet.Retransmits++
 	c.packet.Token = 0
 	return c.send()
@@ -120,15 +120,15 @@
 }
 
 // ask sends a request of 100 bytes; askAgain sends it again.
-func (c *client) ask() Decision {
+func (c *client) request() Decision {
 	c.packet.Length = 100
 	return c.send()
 }
 
-func (c *client) askAgain() Decision { return c.send() }
+func (c *client) retransmitRequest() Decision { return c.send() }
 
 // answered acknowledges an answer of 1,000 bytes.
-func (c *client) answered() Decision {
+func (c *client) acknowledge() Decision {
 	c.packet.Sequence += uint32(c.packet.Length)
 	c.packet.Length = 0
 	c.packet.Acknowledged += 1000
@@ -141,18 +141,18 @@
 	c, d := s.open(service)
 	require.Equal(s.t, Forward, d.Kind)
 	require.Equal(s.t, Forward, c.accept().Kind)
-	require.Equal(s.t, Forward, c.ask().Kind)
-	s.pass(50 * time.Millisecond)
-	require.Equal(s.t, Forward, c.answered().Kind)
+	require.Equal(s.t, Forward, c.request().Kind)
+	s.advance(50 * time.Millisecond)
+	require.Equal(s.t, Forward, c.acknowledge().Kind)
 	return c
 }
 
 // round has each of the clients ask and be answered.
-func (s *site) round(clients []*client) {
+func (s *site) exchange(clients []*client) {
 	s.t.Helper()
 	for _, c := range clients {
-		require.Equal(s.t, Forward, c.ask().Kind)
-		s.pass(10 * time.Millisecond)
-		require.Equal(s.t, Forward, c.answered().Kind)
+		require.Equal(s.t, Forward, c.request().Kind)
+		s.advance(10 * time.Millisecond)
+		require.Equal(s.t, Forward, c.acknowledge().Kind)
 	}
 }
--- a/bronzesteer/hedge_test.go
+++ b/bronzesteer/hedge_test.go
@@ -12,7 +12,7 @@
 
 // wait lets time pass until the next opening is overdue, and takes what is sent then as
 // the caller's packet would be.
-func (s *site) wait() (list []Hedge) {
+func (s *site) nextHedges() (list []Hedge) {
 	s.t.Helper()
 	at, ok := s.node.NextHedge()
 	if !ok {
@@ -23,7 +23,7 @@
 }
 
 // handshakes opens n flows whose servers answer after took.
-func (s *site) handshakes(n int, took time.Duration) {
+func (s *site) completeHandshakes(n int, took time.Duration) {
 	for range n {
 		c, d := s.open(live)
 		require.Equal(s.t, Forward, d.Kind)
@@ -38,10 +38,10 @@
 // next caller isn't sent to the silent one at all.
 func TestAnOpeningAtASilentServerIsHedged(t *testing.T) {
 	s := newSite(t, 3)
-	s.handshakes(20, 3*time.Millisecond)
+	s.completeHandshakes(20, 3*time.Millisecond)
 	c, d := s.open(live)
 	sent := s.now
-	list := s.wait()
+	list := s.nextHedges()
 	require.Len(t, list, 1)
 	require.LessOrEqual(t, s.now.Sub(sent), 2*minHedgeDelay)
 	h := list[0].Decision
@@ -64,16 +64,16 @@
 // and no further.
 func TestAHedgeIsHedgedToo(t *testing.T) {
 	s := newSite(t, 4)
-	s.handshakes(20, 3*time.Millisecond)
+	s.completeHandshakes(20, 3*time.Millisecond)
 	_, d := s.open(live)
 	asked := map[string]bool{d.Server.Instance: true}
 	for range maxHedges {
-		list := s.wait()
+		list := s.nextHedges()
 		require.Len(t, list, 1)
 		require.False(t, asked[list[0].Decision.Server.Instance])
 		asked[list[0].Decision.Server.Instance] = true
 	}
-	require.Empty(t, s.wait())
+	require.Empty(t, s.nextHedges())
 }
 
 // The first server answers after all, and then the second: the caller goes on with the
@@ -81,15 +81,15 @@
 // reach a server that doesn't have the flow, which would end it.
 func TestAHedgedFlowStaysWithTheServerThatItsCallerTook(t *testing.T) {
 	s := newSite(t, 3)
-	s.handshakes(20, 3*time.Millisecond)
+	s.completeHandshakes(20, 3*time.Millisecond)
 	c, d := s.open(live)
-	h := s.wait()[0].Decision
+	h := s.nextHedges()[0].Decision
 	c.packet.Token = d.Token
 	accepted := c.accept()
 	require.Equal(t, HedgeLost, accepted.Hedge)
 	require.Equal(t, d.Server.Instance, accepted.Server.Instance)
 	c.packet.Token = h.Token
-	asked := c.ask()
+	asked := c.request()
 	require.Equal(t, d.Server.Instance, asked.Server.Instance)
 	require.Equal(t, d.Token, asked.Token)
 	require.False(t, s.status(d.Server.Instance).Avoided, "it has answered")
@@ -100,15 +100,15 @@
 // is late, not silent, and new callers go there again at once.
 func TestALateAcceptanceClearsItsServer(t *testing.T) {
 	s := newSite(t, 3)
-	s.handshakes(20, 3*time.Millisecond)
+	s.completeHandshakes(20, 3*time.Millisecond)
 	c, d := s.open(live)
-	h := s.wait()[0].Decision
+	h := s.nextHedges()[0].Decision
 	c.packet.Token = h.Token
 	require.Equal(t, HedgeWon, c.accept().Hedge)
 	require.True(t, s.status(d.Server.Instance).Avoided)
 	s.now = s.now.Add(5 * time.Millisecond)
 	c.packet.Token = d.Token
-	require.Equal(t, h.Server.Instance, c.ask().Server.Instance)
+	require.Equal(t, h.Server.Instance, c.request().Server.Instance)
 	require.False(t, s.status(d.Server.Instance).Avoided)
 }
 
@@ -116,10 +116,10 @@
 // time; hedged after the usual few milliseconds, each would go to two servers.
 func TestHedgesWaitAsLongAsAnswersTake(t *testing.T) {
 	s := newSite(t, 3)
-	s.handshakes(30, 30*time.Millisecond)
+	s.completeHandshakes(30, 30*time.Millisecond)
 	_, _ = s.open(live)
 	sent := s.now
-	require.Len(t, s.wait(), 1)
+	require.Len(t, s.nextHedges(), 1)
 	require.Greater(t, s.now.Sub(sent), 30*time.Millisecond)
 	require.LessOrEqual(t, s.now.Sub(sent), maxHedgeDelay)
 }
@@ -128,7 +128,7 @@
 // to three servers, the others would have three times the openings.
 func TestHedgesAreFew(t *testing.T) {
 	s := newSite(t, 6, 6)
-	s.handshakes(20, 3*time.Millisecond)
+	s.completeHandshakes(20, 3*time.Millisecond)
 	hedged := 0
 	const openings = 600
 	for range openings {
@@ -150,13 +150,13 @@
 		{Name: "live", Service: live, Pools: shares, Idempotent: true, Objective: 100 * time.Millisecond},
 	}}, s.now)
 	s.node.SetView(s.directory.View())
-	clients := s.load(24, live)
+	clients := s.serveN(24, live)
 	_, d := s.open(live)
 	require.Equal(t, Forward, d.Kind)
 	for _, c := range clients {
-		c.ask()
+		c.request()
 	}
-	require.Empty(t, s.wait())
+	require.Empty(t, s.nextHedges())
 }
 
 // However openings are answered, repeated, given up and hedged, each goes to at most
@@ -187,7 +187,7 @@
 				if len(waiting) == 0 {
 					r.Skip()
 				}
-				waiting[rapid.IntRange(0, len(waiting)-1).Draw(r, "Client")].repeat()
+				waiting[rapid.IntRange(0, len(waiting)-1).Draw(r, "Client")].retransmit()
 			},
 			"Pass": func(r *rapid.T) {
 				s.now = s.now.Add(time.Duration(rapid.IntRange(1, 60).Draw(r, "MS")) * time.Millisecond)
--- a/bronzesteer/overload_test.go
+++ b/bronzesteer/overload_test.go
@@ -102,7 +102,7 @@
 		return
 	}
 	c.accept()
-	c.ask()
+	c.request()
 	slots := q.slots[c.server.Instance]
 	first := 0
 	for i := range slots {
@@ -122,7 +122,7 @@
 	work := simWork/2 + time.Duration(q.rnd.Int64N(int64(simWork)))
 	slots[first] = start.Add(work)
 	q.after(slots[first].Sub(q.now), func() {
-		c.answered()
+		c.acknowledge()
 		if q.now.Sub(since) <= simObjective {
 			q.inTime++
 		} else {
--- a/bronzesteer/pause_test.go
+++ b/bronzesteer/pause_test.go
@@ -9,13 +9,13 @@
 )
 
 // sleep lets time pass in which the node doesn't run.
-func (s *site) sleep(d time.Duration) (aside Discarded) {
+func (s *site) pause(d time.Duration) (aside Discarded) {
 	s.now = s.now.Add(d)
 	return s.node.Paused(s.now)
 }
 
 // told returns what the node tells of servers that it found silent.
-func (s *site) told() (findings []Report) {
+func (s *site) reportedFindings() (findings []Report) {
 	for _, r := range s.node.Reports(true, s.now) {
 		if !r.Answered {
 			findings = append(findings, r)
@@ -32,26 +32,26 @@
 func TestANodeThatStoodStillFindsNobodySilent(t *testing.T) {
 	s := newSite(t, 6)
 	s.node.SetPeerCount(294)
-	idle := s.load(12, outline)
-	waiting := s.load(6, live)
-	s.handshakes(20, 3*time.Millisecond)
+	idle := s.serveN(12, outline)
+	waiting := s.serveN(6, live)
+	s.completeHandshakes(20, 3*time.Millisecond)
 	for _, c := range waiting[:3] {
-		c.ask()
+		c.request()
 	}
 	for range 3 {
 		s.open(live)
 	}
-	aside := s.sleep(5 * time.Second)
+	aside := s.pause(5 * time.Second)
 	require.Equal(t, Discarded{Openings: 3, Requests: 3}, aside)
-	require.Empty(t, s.wait())
-	require.Equal(t, Forward, waiting[0].askAgain().Kind)
+	require.Empty(t, s.nextHedges())
+	require.Equal(t, Forward, waiting[0].retransmitRequest().Kind)
 	for range 8 {
-		s.pass(200 * time.Millisecond)
+		s.advance(200 * time.Millisecond)
 		s.serve(live)
-		require.Empty(t, s.told())
+		require.Empty(t, s.reportedFindings())
 	}
 	require.Empty(t, s.endings)
-	require.Equal(t, Forward, idle[0].ask().Kind)
+	require.Equal(t, Forward, idle[0].request().Kind)
 }
 
 // The same node judges servers again two seconds after it woke: one that crashed meanwhile
@@ -59,17 +59,17 @@
 func TestANodeThatStoodStillJudgesAgain(t *testing.T) {
 	s := newSite(t, 6)
 	s.node.SetPeerCount(294)
-	s.handshakes(20, 3*time.Millisecond)
-	s.sleep(5 * time.Second)
+	s.completeHandshakes(20, 3*time.Millisecond)
+	s.pause(5 * time.Second)
 	s.open(live)
-	s.wait()
-	s.pass(settleTime)
+	s.nextHedges()
+	s.advance(settleTime)
 	s.node.Hedges(s.now)
-	require.Empty(t, s.told(), "what it saw while it woke doesn't count")
+	require.Empty(t, s.reportedFindings(), "what it saw while it woke doesn't count")
 	s.open(live)
-	s.wait()
-	s.pass(2 * reportDelay)
-	require.NotEmpty(t, s.told())
+	s.nextHedges()
+	s.advance(2 * reportDelay)
+	require.NotEmpty(t, s.reportedFindings())
 }
 
 // Findings that a node had from others before it stood still are as old as the pause when
@@ -78,18 +78,18 @@
 func TestFindingsFromBeforeAPauseAreForgotten(t *testing.T) {
 	s := newSite(t, 6)
 	s.node.SetPeerCount(294)
-	idle, _ := atFirst(s.load(12, outline))
+	idle, _ := splitAtFirstServer(s.serveN(12, outline))
 	require.NotEmpty(t, idle)
-	s.pass(400 * time.Millisecond)
+	s.advance(400 * time.Millisecond)
 	s.node.MergeReports([]Report{
-		s.found("a-0", 7, 3, 300*time.Millisecond), s.found("a-0", 8, 3, 300*time.Millisecond),
+		s.peerReport("a-0", 7, 3, 300*time.Millisecond), s.peerReport("a-0", 8, 3, 300*time.Millisecond),
 	}, s.now)
-	require.Equal(t, 1, s.sleep(600*time.Millisecond).Findings)
+	require.Equal(t, 1, s.pause(600*time.Millisecond).Findings)
 	for range 10 {
 		s.serve(live)
-		s.pass(200 * time.Millisecond)
+		s.advance(200 * time.Millisecond)
 	}
-	require.Empty(t, s.told())
+	require.Empty(t, s.reportedFindings())
 	require.Empty(t, s.endings)
 }
 
@@ -99,24 +99,24 @@
 // that is gone is ended as ever.
 func TestRecordsFromBeforeAPauseEndNoFlows(t *testing.T) {
 	s := newSite(t, 3)
-	there, _ := atFirst(s.load(9, live))
+	there, _ := splitAtFirstServer(s.serveN(9, live))
 	require.Greater(t, len(there), 1)
 	s.directory.Unregister("a-0", s.now)
 	s.directory.Advance(s.now.Add(time.Minute))
 	s.node.SetView(s.directory.View())
-	s.sleep(5 * time.Second)
-	d := there[0].ask()
+	s.pause(5 * time.Second)
+	d := there[0].request()
 	require.Equal(t, Drop, d.Kind)
 	require.Equal(t, Unsure, d.Reason)
 	unknown, _ := s.open(netip.MustParseAddrPort("198.18.0.9:80"))
-	require.Equal(t, Unsure, unknown.repeat().Reason, "its route may be new")
-	s.pass(time.Second)
+	require.Equal(t, Unsure, unknown.retransmit().Reason, "its route may be new")
+	s.advance(time.Second)
 	require.Empty(t, s.endings)
 
 	s.node.RecordsConfirmed()
-	require.Equal(t, ServerGone, there[0].askAgain().Reason)
-	require.Equal(t, NoRoute, unknown.repeat().Reason)
-	s.pass(time.Second)
+	require.Equal(t, ServerGone, there[0].retransmitRequest().Reason)
+	require.Equal(t, NoRoute, unknown.retransmit().Reason)
+	s.advance(time.Second)
 	require.NotEmpty(t, s.endings)
 }
 
@@ -126,17 +126,17 @@
 func TestCopiesThatWaitedWithTheirOpeningShowNoSilence(t *testing.T) {
 	s := newSite(t, 3)
 	s.node.SetPeerCount(294)
-	s.handshakes(20, 3*time.Millisecond)
+	s.completeHandshakes(20, 3*time.Millisecond)
 	c, d := s.open(live)
 	for range 2 {
-		again := c.repeat()
+		again := c.retransmit()
 		require.Equal(t, Repeated, again.Reason)
 		require.Equal(t, d.Server.Instance, again.Server.Instance)
 	}
-	require.Empty(t, s.wait())
-	s.pass(time.Second)
+	require.Empty(t, s.nextHedges())
+	s.advance(time.Second)
 	require.False(t, s.status(d.Server.Instance).Avoided)
-	require.Empty(t, s.told())
+	require.Empty(t, s.reportedFindings())
 }
 
 // One node of a large fleet says that all servers are silent: it is its own link or
@@ -145,9 +145,9 @@
 	const servers = 100
 	s := newSite(t, servers)
 	s.node.SetPeerCount(294)
-	s.load(8, live)
+	s.serveN(8, live)
 	for _, m := range s.node.state.Load().members {
-		s.node.MergeReports([]Report{s.found(m.server.Instance, 7, 3, 10*time.Millisecond)}, s.now)
+		s.node.MergeReports([]Report{s.peerReport(m.server.Instance, 7, 3, 10*time.Millisecond)}, s.now)
 	}
 	avoided := 0
 	for _, m := range s.node.state.Load().members {
--- a/bronzesteer/place_test.go
+++ b/bronzesteer/place_test.go
@@ -11,7 +11,7 @@
 )
 
 // spread opens n flows of one request each and counts them by server and zone.
-func (s *site) spread(n int) (byServer, byZone map[string]int) {
+func (s *site) serveAndCount(n int) (byServer, byZone map[string]int) {
 	byServer, byZone = map[string]int{}, map[string]int{}
 	for range n {
 		c := s.serve(live)
@@ -23,7 +23,7 @@
 
 func TestFlowsStayInTheirZone(t *testing.T) {
 	s := newSite(t, 3, 3)
-	_, byZone := s.spread(60)
+	_, byZone := s.serveAndCount(60)
 	require.Equal(t, map[string]int{"a": 60}, byZone)
 }
 
@@ -47,7 +47,7 @@
 	away := 0
 	for range 200 {
 		s.node.SetLoads("other", full, s.now)
-		s.pass(100 * time.Millisecond)
+		s.advance(100 * time.Millisecond)
 		c, _ := s.open(live)
 		c.accept()
 		if c.server.AvailabilityZone != "a" {
@@ -70,7 +70,7 @@
 	for range 60 {
 		c, _ := s.open(live)
 		c.accept()
-		c.ask()
+		c.request()
 		s.now = s.now.Add(time.Millisecond)
 		byServer[c.server.Instance]++
 	}
@@ -95,10 +95,10 @@
 		}
 	}
 	s.node.SetLoads("other", full, s.now)
-	s.pass(100 * time.Millisecond)
+	s.advance(100 * time.Millisecond)
 	c, _ := s.open(live)
 	require.Equal(t, "b", c.server.AvailabilityZone)
-	s.pass(peerLoadTimeout + time.Second)
+	s.advance(peerLoadTimeout + time.Second)
 	c, _ = s.open(live)
 	require.Equal(t, "a", c.server.AvailabilityZone)
 }
@@ -111,7 +111,7 @@
 	for _, node := range []string{"x", "y"} {
 		s.node.SetLoads(node, []Load{{Server: shortID(server), Rate: 4}}, s.now)
 	}
-	s.pass(50 * time.Millisecond)
+	s.advance(50 * time.Millisecond)
 	require.InDelta(t, 40, s.node.state.Load().backendOf(server, nil).peerRate, 0.001)
 }
 
@@ -119,18 +119,18 @@
 // sends most to, and of none that it hardly sends anything to.
 func TestLoadsAreOfTheBusiestServers(t *testing.T) {
 	s := newSite(t, maxLoads+10)
-	s.pass(loadInterval)
+	s.advance(loadInterval)
 	for i, server := range s.node.View().Servers {
 		s.node.state.Load().backendOf(server, nil).rate = 2 * minReportedRate * float64(i)
 	}
 	require.Empty(t, s.node.Loads(), "before they were brought up to date")
-	s.pass(loadInterval)
+	s.advance(loadInterval)
 	loads := s.node.Loads()
 	require.Len(t, loads, maxLoads)
 	for i := range loads[1:] {
 		require.GreaterOrEqual(t, loads[i].Rate, loads[i+1].Rate)
 	}
-	s.pass(20 * rateTimeConstant)
+	s.advance(20 * rateTimeConstant)
 	require.Empty(t, s.node.Loads())
 }
 
@@ -148,7 +148,7 @@
 		c, _ := s.open(live)
 		open = append(open, c)
 	}
-	there, _ := atFirst(open)
+	there, _ := splitAtFirstServer(open)
 	require.InDelta(t, 10, len(there), 1)
 }
 
@@ -161,7 +161,7 @@
 		slow.observeLatency(200*time.Millisecond, time.Minute)
 		quick.observeLatency(20*time.Millisecond, time.Minute)
 	}
-	byServer, _ := s.spread(100)
+	byServer, _ := s.serveAndCount(100)
 	require.Less(t, byServer["a-0"], 30)
 }
 
@@ -173,7 +173,7 @@
 		s.directory.Register(server)
 	}
 	s.node.SetView(s.directory.View())
-	_, byZone := s.spread(10)
+	_, byZone := s.serveAndCount(10)
 	require.Equal(t, map[string]int{"b": 10}, byZone)
 }
 
@@ -190,7 +190,7 @@
 	require.Equal(t, Forward, d.Kind)
 	s.register("a", 0)
 	s.node.SetView(s.directory.View())
-	byServer, _ := s.spread(10)
+	byServer, _ := s.serveAndCount(10)
 	require.Equal(t, map[string]int{"a-0": 10}, byServer)
 }
 
@@ -236,7 +236,7 @@
 // others see.
 func TestSlowServerIsKnownFromOtherNodes(t *testing.T) {
 	s := newSite(t, 2)
-	s.load(4, live)
+	s.serveN(4, live)
 	k := s.node.state.Load()
 	slow, quick := k.backendOf(s.node.View().ByName("a-0"), nil), k.backendOf(s.node.View().ByName("a-1"), nil)
 	s.node.SetPeerCount(60)
@@ -246,7 +246,7 @@
 			{Server: quick.shortID, Rate: 0.3, Latency: 30 * time.Millisecond},
 		}, s.now)
 	}
-	s.pass(loadInterval)
+	s.advance(loadInterval)
 	toSlow := 0
 	for range 12 {
 		if _, d := s.open(live); d.Server.Instance == "a-0" {
@@ -261,23 +261,23 @@
 // errors. It gets few, and callers again when that is some time ago.
 func TestServerThatFailsAtOnceGetsLess(t *testing.T) {
 	s := newSite(t, 4)
-	s.load(16, live)
-	s.pass(loadInterval)
+	s.serveN(16, live)
+	s.advance(loadInterval)
 	var there int
 	for range 40 {
 		c, d := s.open(live)
 		c.accept()
-		c.ask()
+		c.request()
 		if d.Server.Instance == "a-0" {
 			there++
 			s.now = s.now.Add(3 * time.Millisecond)
 		} else {
-			s.pass(50 * time.Millisecond)
+			s.advance(50 * time.Millisecond)
 		}
-		c.answered()
+		c.acknowledge()
 	}
 	require.LessOrEqual(t, there, 4)
-	s.pass(3 * latencyDecayTime)
+	s.advance(3 * latencyDecayTime)
 	there = 0
 	for range 12 {
 		if _, d := s.open(live); d.Server.Instance == "a-0" {
@@ -297,7 +297,7 @@
 		slow.observeLatency(300*time.Millisecond, time.Minute)
 		quick.observeLatency(20*time.Millisecond, time.Minute)
 		if i%5 == 0 {
-			s.pass(loadInterval)
+			s.advance(loadInterval)
 		}
 	}
 	require.Greater(t, s.status("a-0").LatencyMS, s.status("a-1").LatencyMS)
@@ -310,8 +310,8 @@
 // answers count as what they are.
 func TestBusyServersThatRefuseAreNotTakenForFailing(t *testing.T) {
 	s := newSite(t, 4)
-	s.load(16, live)
-	s.pass(loadInterval)
+	s.serveN(16, live)
+	s.advance(loadInterval)
 	b := s.node.backend("a-0")
 	usual := time.Duration(b.stats.medianLatency.Load())
 	require.Equal(t, 50*time.Millisecond, usual)
--- a/bronzesteer/pool_test.go
+++ b/bronzesteer/pool_test.go
@@ -28,7 +28,7 @@
 		require.LessOrEqual(t, len(s.node.samplePool(nil, p)), ownZoneSample+otherZonesSample)
 		c, _ := s.open(live)
 		c.accept()
-		c.ask()
+		c.request()
 		s.now = s.now.Add(10 * time.Microsecond)
 		byServer[c.server.Instance]++
 	}
@@ -71,7 +71,7 @@
 	for range 50 {
 		c, _ := s.open(live)
 		c.accept()
-		c.ask()
+		c.request()
 	}
 	require.InDelta(t, 50.0/200, sum.inFlight.perSlot(), 1e-9)
 	sum = s.node.summary(p, at+summaryMaxAge, s.now)
--- a/bronzesteer/probe_test.go
+++ b/bronzesteer/probe_test.go
@@ -12,22 +12,22 @@
 	t.Helper()
 	s = newSite(t, 6)
 	s.node.SetPeerCount(294)
-	idle, _ = atFirst(s.load(12, outline))
+	idle, _ = splitAtFirstServer(s.serveN(12, outline))
 	require.NotEmpty(t, idle)
-	s.handshakes(20, 3*time.Millisecond)
-	s.pass(100 * time.Millisecond)
+	s.completeHandshakes(20, 3*time.Millisecond)
+	s.advance(100 * time.Millisecond)
 	return s, idle
 }
 
 // findDead has two nodes of the server's zone tell that it leaves all unanswered, until
 // this node has the opening of a caller go there, and returns that caller.
-func (s *site) findDead(instance string) *client {
+func (s *site) reportUntilProbed(instance string) *client {
 	s.t.Helper()
 	told := s.now
 	for range 20 {
 		first := s.now.Sub(told) + 20*time.Millisecond
-		s.node.MergeReports([]Report{s.found(instance, 7, 3, first), s.found(instance, 8, 3, first)}, s.now)
-		s.pass(100 * time.Millisecond)
+		s.node.MergeReports([]Report{s.peerReport(instance, 7, 3, first), s.peerReport(instance, 8, 3, first)}, s.now)
+		s.advance(100 * time.Millisecond)
 		c, d := s.open(live)
 		if d.Server.Instance == instance {
 			return c
@@ -44,13 +44,13 @@
 // idle flows are ended.
 func TestIdleFlowsOfADeadServerAreFoundByATrial(t *testing.T) {
 	s, idle := newIdleSite(t)
-	s.findDead("a-0")
-	list := s.wait()
+	s.reportUntilProbed("a-0")
+	list := s.nextHedges()
 	require.Len(t, list, 1)
 	require.NotEqual(t, "a-0", list[0].Decision.Server.Instance)
 	for range 8 {
-		s.serveBut("a-0")
-		s.pass(100 * time.Millisecond)
+		s.serveExcept("a-0")
+		s.advance(100 * time.Millisecond)
 	}
 	ended := map[flowKey]bool{}
 	for _, e := range s.endings {
@@ -67,16 +67,16 @@
 // it answers.
 func TestATrialThatIsAnsweredKeepsFlows(t *testing.T) {
 	s, _ := newIdleSite(t)
-	tries := s.findDead("a-0")
+	tries := s.reportUntilProbed("a-0")
 	s.now = s.now.Add(3 * time.Millisecond)
 	s.node.HasNewReports()
 	tries.accept()
 	require.True(t, s.node.HasNewReports())
 	require.True(t, s.node.Reports(false, s.now)[0].Answered)
 	for range 20 {
-		s.node.MergeReports([]Report{s.found("a-0", 7, 3, 900*time.Millisecond), s.found("a-0", 8, 3, 900*time.Millisecond)}, s.now)
+		s.node.MergeReports([]Report{s.peerReport("a-0", 7, 3, 900*time.Millisecond), s.peerReport("a-0", 8, 3, 900*time.Millisecond)}, s.now)
 		s.serve(live)
-		s.pass(100 * time.Millisecond)
+		s.advance(100 * time.Millisecond)
 	}
 	require.Empty(t, s.endings)
 }
@@ -86,16 +86,16 @@
 // long nothing else is heard: the next opening is answered.
 func TestTwoTrialsAndAnotherNodesWordEndNoFlow(t *testing.T) {
 	s, _ := newIdleSite(t)
-	told := s.found("a-0", 7, 1, 20*time.Millisecond)
+	told := s.peerReport("a-0", 7, 1, 20*time.Millisecond)
 	told.Requests = 0
 	s.node.MergeReports([]Report{told}, s.now)
 	tried := 0
 	for range 14 {
-		s.pass(100 * time.Millisecond)
+		s.advance(100 * time.Millisecond)
 		c, d := s.open(live)
 		if d.Server.Instance == "a-0" {
 			tried++
-			list := s.wait()
+			list := s.nextHedges()
 			require.Len(t, list, 1)
 			c.packet.Token = list[0].Decision.Token
 		}
--- a/bronzesteer/refuse_test.go
+++ b/bronzesteer/refuse_test.go
@@ -16,7 +16,7 @@
 
 // newCutSite returns a site whose servers of the archive are in zone b alone,
 // with callers of zone a that are answered all the time.
-func newCutSite(t *testing.T) (s *site, own []*client) {
+func newPartitionedSite(t *testing.T) (s *site, own []*client) {
 	s = newSite(t, 4, 4)
 	s.directory.SetTable(&bronzeroute.Table{Version: 2, Routes: []bronzeroute.Route{
 		{Name: "live", Service: live, Pools: []bronzeroute.WeightedPool{{Pool: "live", Weight: 1}}, Idempotent: true},
@@ -31,7 +31,7 @@
 		})
 	}
 	s.node.SetView(s.directory.View())
-	return s, s.load(8, live)
+	return s, s.serveN(8, live)
 }
 
 // crowd is callers of the archive that come every 10 ms and repeat their
@@ -41,15 +41,15 @@
 	own     []*client
 	opening map[*client]time.Time
 	// healed says that servers of the archive accept.
-	healed bool
+	recovered bool
 	// turnedAway and forwarded count the first copies.
-	turnedAway int
-	forwarded  int
+	refused   int
+	forwarded int
 }
 
 func newCrowd(t *testing.T) *crowd {
 	c := &crowd{opening: make(map[*client]time.Time)}
-	c.site, c.own = newCutSite(t)
+	c.site, c.own = newPartitionedSite(t)
 	return c
 }
 
@@ -57,7 +57,7 @@
 func (c *crowd) run(d time.Duration) {
 	s := c.site
 	for end := s.now.Add(d); s.now.Before(end); {
-		s.round(c.own[:1])
+		s.exchange(c.own[:1])
 		c.repeat()
 		caller, decision := s.open(archive)
 		if decision.Kind == Forward {
@@ -67,13 +67,13 @@
 			continue
 		}
 		require.Equal(s.t, NoneAnswers, decision.Reason)
-		c.turnedAway++
+		c.refused++
 	}
 }
 
 // accept has all openings accepted, if servers accept.
 func (c *crowd) accept() {
-	if !c.healed {
+	if !c.recovered {
 		return
 	}
 	for caller := range c.opening {
@@ -88,7 +88,7 @@
 		age := c.site.now.Sub(at)
 		due := caller.packet.Retransmits == 0 && age >= 200*time.Millisecond || caller.packet.Retransmits == 1 && age >= 600*time.Millisecond
 		if due {
-			require.Equal(c.site.t, Forward, caller.repeat().Kind)
+			require.Equal(c.site.t, Forward, caller.retransmit().Kind)
 		}
 		if age >= 1400*time.Millisecond {
 			delete(c.opening, caller)
@@ -103,16 +103,16 @@
 func TestCallersOfAPoolThatIsCutOffAreToldAtOnce(t *testing.T) {
 	c := newCrowd(t)
 	c.run(5 * time.Second)
-	c.turnedAway, c.forwarded = 0, 0
+	c.refused, c.forwarded = 0, 0
 	c.run(4 * time.Second)
 	require.Equal(t, 4*exemptRate, c.forwarded)
-	require.Equal(t, 400-c.forwarded, c.turnedAway)
+	require.Equal(t, 400-c.forwarded, c.refused)
 
-	c.healed = true
+	c.recovered = true
 	c.run(time.Second / exemptRate)
-	c.turnedAway = 0
+	c.refused = 0
 	c.run(time.Second)
-	require.Zero(t, c.turnedAway)
+	require.Zero(t, c.refused)
 }
 
 // A copy of an opening may follow one that a server has just accepted, at this
@@ -131,10 +131,10 @@
 
 // A node that itself hears nobody doesn't know who is cut off.
 func TestNodeThatHearsNobodyTurnsNobodyAway(t *testing.T) {
-	s, _ := newCutSite(t)
+	s, _ := newPartitionedSite(t)
 	for range 40 {
 		_, d := s.open(archive)
 		require.Equal(t, Forward, d.Kind)
-		s.pass(100 * time.Millisecond)
+		s.advance(100 * time.Millisecond)
 	}
 }
--- a/bronzesteer/report_test.go
+++ b/bronzesteer/report_test.go
@@ -9,7 +9,7 @@
 )
 
 // overdue opens flows until one meets the given server, and lets it be overdue there.
-func (s *site) overdue(instance string) *client {
+func (s *site) openAt(instance string) *client {
 	s.t.Helper()
 	for range 50 {
 		c, d := s.open(live)
@@ -18,14 +18,14 @@
 			return c
 		}
 		c.accept()
-		c.ask()
+		c.request()
 	}
 	require.Fail(s.t, "no flow meets the server")
 	return nil
 }
 
 // found returns what another node tells of a server.
-func (s *site) found(instance string, node uint32, openings int, first time.Duration) Report {
+func (s *site) peerReport(instance string, node uint32, openings int, first time.Duration) Report {
 	return Report{
 		Server: s.node.backend(instance).shortID, Node: node, SameZone: true, Openings: openings, Requests: 1, First: first,
 	}
@@ -33,7 +33,7 @@
 
 // serveBut opens a flow and has one request answered, unless it is sent to a server that
 // answers nobody: then nothing comes back.
-func (s *site) serveBut(dead string) {
+func (s *site) serveExcept(dead string) {
 	s.t.Helper()
 	c, d := s.open(live)
 	if d.Server.Instance == dead {
@@ -41,9 +41,9 @@
 	}
 	require.NotEqual(s.t, dead, d.Server.Instance)
 	c.accept()
-	c.ask()
-	s.pass(50 * time.Millisecond)
-	c.answered()
+	c.request()
+	s.advance(50 * time.Millisecond)
+	c.acknowledge()
 }
 
 func (s *Steerer) backend(instance string) *backend {
@@ -58,22 +58,22 @@
 func TestANodeWithAFullLinkEndsNoFlows(t *testing.T) {
 	s := newSite(t, 4)
 	s.node.SetPeerCount(65)
-	idle, _ := atFirst(s.load(24, outline))
+	idle, _ := splitAtFirstServer(s.serveN(24, outline))
 	require.NotEmpty(t, idle)
 	for range 4 {
-		late := []*client{s.overdue("a-0"), s.overdue("a-0"), s.overdue("a-0")}
-		s.pass(200 * time.Millisecond)
+		late := []*client{s.openAt("a-0"), s.openAt("a-0"), s.openAt("a-0")}
+		s.advance(200 * time.Millisecond)
 		for _, c := range late {
-			c.repeat()
+			c.retransmit()
 		}
-		s.pass(200 * time.Millisecond)
+		s.advance(200 * time.Millisecond)
 		s.serve(live)
 		require.Empty(t, s.endings)
 		for _, c := range late {
 			c.packet.Token = s.node.View().Token(live, s.node.View().ByName("a-0"))
 			c.accept()
 		}
-		s.pass(500 * time.Millisecond)
+		s.advance(500 * time.Millisecond)
 	}
 	require.Empty(t, s.endings)
 }
@@ -84,22 +84,22 @@
 // other nodes hear of it.
 func TestANodeThatWasWrongJudgesNobody(t *testing.T) {
 	s := newSite(t, 4)
-	idle, _ := atFirst(s.load(16, outline))
+	idle, _ := splitAtFirstServer(s.serveN(16, outline))
 	require.NotEmpty(t, idle)
 	for range falseSuspicionLimit {
-		late := s.overdue("a-1")
-		s.pass(200 * time.Millisecond)
-		late.repeat()
+		late := s.openAt("a-1")
+		s.advance(200 * time.Millisecond)
+		late.retransmit()
 		late.packet.Token = s.node.View().Token(live, s.node.View().ByName("a-1"))
 		late.accept()
 	}
-	stuck := []*client{s.overdue("a-0"), s.overdue("a-0"), s.overdue("a-0")}
-	s.pass(200 * time.Millisecond)
+	stuck := []*client{s.openAt("a-0"), s.openAt("a-0"), s.openAt("a-0")}
+	s.advance(200 * time.Millisecond)
 	for _, c := range stuck {
-		c.repeat()
+		c.retransmit()
 	}
 	for range 3 {
-		s.pass(200 * time.Millisecond)
+		s.advance(200 * time.Millisecond)
 		s.serve(live)
 	}
 	require.Empty(t, s.endings)
@@ -116,19 +116,19 @@
 func TestFindingsOfTwoNodesEndFlowsOfADeadServer(t *testing.T) {
 	s := newSite(t, 6)
 	s.node.SetPeerCount(65)
-	idle, _ := atFirst(s.load(12, outline))
-	waiting, _ := atFirst(s.load(12, live))
-	s.pass(100 * time.Millisecond)
-	waiting[0].ask()
-	s.node.MergeReports([]Report{s.found("a-0", 7, 3, 20*time.Millisecond)}, s.now)
+	idle, _ := splitAtFirstServer(s.serveN(12, outline))
+	waiting, _ := splitAtFirstServer(s.serveN(12, live))
+	s.advance(100 * time.Millisecond)
+	waiting[0].request()
+	s.node.MergeReports([]Report{s.peerReport("a-0", 7, 3, 20*time.Millisecond)}, s.now)
 	require.True(t, s.node.HasNewReports(), "it is passed on")
 	require.True(t, s.status("a-0").Avoided)
-	s.pass(200 * time.Millisecond)
-	s.serveBut("a-0")
-	require.Equal(t, Forward, waiting[0].askAgain().Kind, "an answer at another node may not have been told yet")
+	s.advance(200 * time.Millisecond)
+	s.serveExcept("a-0")
+	require.Equal(t, Forward, waiting[0].retransmitRequest().Kind, "an answer at another node may not have been told yet")
 	for range 4 {
-		s.pass(200 * time.Millisecond)
-		s.serveBut("a-0")
+		s.advance(200 * time.Millisecond)
+		s.serveExcept("a-0")
 	}
 	ended := map[flowKey]bool{}
 	for _, e := range s.endings {
@@ -147,18 +147,18 @@
 func TestAnAnswerElsewhereClearsAServer(t *testing.T) {
 	s := newSite(t, 6)
 	s.node.SetPeerCount(65)
-	waiting, _ := atFirst(s.load(12, live))
-	s.pass(100 * time.Millisecond)
-	waiting[0].ask()
-	s.node.MergeReports([]Report{s.found("a-0", 7, 2, 20*time.Millisecond)}, s.now)
-	s.pass(200 * time.Millisecond)
-	waiting[0].askAgain()
+	waiting, _ := splitAtFirstServer(s.serveN(12, live))
+	s.advance(100 * time.Millisecond)
+	waiting[0].request()
+	s.node.MergeReports([]Report{s.peerReport("a-0", 7, 2, 20*time.Millisecond)}, s.now)
+	s.advance(200 * time.Millisecond)
+	waiting[0].retransmitRequest()
 	answered := Report{Server: s.node.backend("a-0").shortID, Node: 9, Answered: true, Last: 50 * time.Millisecond}
 	s.node.MergeReports([]Report{answered}, s.now)
 	for range 5 {
-		s.pass(200 * time.Millisecond)
+		s.advance(200 * time.Millisecond)
 		s.serve(live)
-		require.Equal(t, Forward, waiting[0].askAgain().Kind)
+		require.Equal(t, Forward, waiting[0].retransmitRequest().Kind)
 	}
 	require.Empty(t, s.endings)
 	require.False(t, s.status("a-0").Avoided)
@@ -169,17 +169,17 @@
 func TestFindingsFromBehindACutEndNoFlows(t *testing.T) {
 	s := newSite(t, 4, 4)
 	s.node.SetPeerCount(5)
-	s.load(8, live)
-	s.farFlows(4)
+	s.serveN(8, live)
+	s.zoneBFlows(4)
 	var reports []Report
 	for node := range uint32(3) {
-		r := s.found("b-0", 20+node, 3, 300*time.Millisecond)
+		r := s.peerReport("b-0", 20+node, 3, 300*time.Millisecond)
 		r.SameZone = false
 		reports = append(reports, r)
 	}
 	s.node.MergeReports(reports, s.now)
 	for range 5 {
-		s.pass(200 * time.Millisecond)
+		s.advance(200 * time.Millisecond)
 		s.serve(live)
 	}
 	require.Empty(t, s.endings)
@@ -191,9 +191,9 @@
 func TestReportsEnd(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		s := newSite(t, 4)
-		s.load(8, live)
+		s.serveN(8, live)
 		for range rapid.IntRange(1, 60).Draw(r, "Reports") {
-			report := s.found("a-0", uint32(rapid.IntRange(1, 9).Draw(r, "Node")), rapid.IntRange(0, 3).Draw(r, "Openings"),
+			report := s.peerReport("a-0", uint32(rapid.IntRange(1, 9).Draw(r, "Node")), rapid.IntRange(0, 3).Draw(r, "Openings"),
 				time.Duration(rapid.IntRange(-9, 4000).Draw(r, "FirstMS"))*time.Millisecond)
 			report.Last = time.Duration(rapid.IntRange(-9, 4000).Draw(r, "LastMS")) * time.Millisecond
 			report.Answered = rapid.Bool().Draw(r, "Answered")
@@ -202,9 +202,9 @@
 			s.node.MergeReports([]Report{report}, s.now)
 			require.False(t, s.node.HasNewReports(), "told twice")
 			require.LessOrEqual(t, len(s.node.Reports(true, s.now)), maxReportsPerServer)
-			s.pass(time.Duration(rapid.IntRange(0, 100).Draw(r, "MS")) * time.Millisecond)
+			s.advance(time.Duration(rapid.IntRange(0, 100).Draw(r, "MS")) * time.Millisecond)
 		}
-		s.pass(suspicionTimeout + time.Second)
+		s.advance(suspicionTimeout + time.Second)
 		require.Empty(t, s.node.Reports(true, s.now))
 	})
 }
@@ -216,21 +216,21 @@
 func TestShortDelaysAreNotTold(t *testing.T) {
 	s := newSite(t, 3)
 	s.node.SetPeerCount(65)
-	s.handshakes(20, 3*time.Millisecond)
+	s.completeHandshakes(20, 3*time.Millisecond)
 	late, d := s.open(live)
-	require.Len(t, s.wait(), 1)
+	require.Len(t, s.nextHedges(), 1)
 	require.Empty(t, s.node.Reports(false, s.now))
 	s.now = s.now.Add(40 * time.Millisecond)
 	late.packet.Token = d.Token
 	late.accept()
-	s.pass(200 * time.Millisecond)
+	s.advance(200 * time.Millisecond)
 	require.Empty(t, s.node.Reports(true, s.now))
 
 	s.open(live)
-	require.Len(t, s.wait(), 1)
+	require.Len(t, s.nextHedges(), 1)
 	s.node.HasNewReports()
 	require.Empty(t, s.node.Reports(false, s.now))
-	s.pass(150 * time.Millisecond)
+	s.advance(150 * time.Millisecond)
 	require.True(t, s.node.HasNewReports())
 	require.Len(t, s.node.Reports(false, s.now), 1)
 }
--- a/bronzesteer/restart_test.go
+++ b/bronzesteer/restart_test.go
@@ -10,7 +10,7 @@
 )
 
 // start registers a start of the server that is given.
-func (s *site) start(server *bronzeroute.Server, born time.Time) {
+func (s *site) registerStart(server *bronzeroute.Server, born time.Time) {
 	again := *server
 	again.StartedAt = born
 	s.directory.Register(again)
@@ -25,19 +25,19 @@
 func TestIdleFlowsOfAnEarlierStartAreEnded(t *testing.T) {
 	s := newSite(t, 1)
 	server := s.node.View().ByName("a-0")
-	s.start(server, s.now)
+	s.registerStart(server, s.now)
 	before := s.serve(outline)
-	s.pass(5 * time.Second)
+	s.advance(5 * time.Second)
 	born := s.now
-	s.pass(time.Second)
+	s.advance(time.Second)
 	after := s.serve(outline)
-	s.start(server, born)
-	s.pass(200 * time.Millisecond)
+	s.registerStart(server, born)
+	s.advance(200 * time.Millisecond)
 
 	require.Len(t, s.endings, 1)
 	require.Equal(t, before.packet.Key, s.endings[0].Packet.Key)
 	require.Equal(t, ServerReborn, s.endings[0].Reason)
-	require.Equal(t, Forward, after.ask().Kind)
+	require.Equal(t, Forward, after.request().Kind)
 	status := s.node.Servers(s.now)[0]
 	require.Equal(t, 1, status.Flows)
 	require.Equal(t, 1, status.Work)
@@ -50,11 +50,11 @@
 	s := newSite(t, 1)
 	server := s.node.View().ByName("a-0")
 	c := s.serve(outline)
-	s.pass(5 * time.Second)
-	s.start(server, s.now)
-	s.pass(time.Second)
+	s.advance(5 * time.Second)
+	s.registerStart(server, s.now)
+	s.advance(time.Second)
 	require.Empty(t, s.endings)
-	require.Equal(t, Forward, c.ask().Kind)
+	require.Equal(t, Forward, c.request().Kind)
 }
 
 // The registration of an earlier start comes after that of a later one. Flows of the
@@ -62,12 +62,12 @@
 func TestAnEarlierStartIsNotTakenForALaterOne(t *testing.T) {
 	s := newSite(t, 1)
 	server := s.node.View().ByName("a-0")
-	s.start(server, s.now)
+	s.registerStart(server, s.now)
 	c := s.serve(outline)
-	s.start(server, s.now.Add(-time.Hour))
-	s.pass(time.Second)
+	s.registerStart(server, s.now.Add(-time.Hour))
+	s.advance(time.Second)
 	require.Empty(t, s.endings)
-	require.Equal(t, Forward, c.ask().Kind)
+	require.Equal(t, Forward, c.request().Kind)
 }
 
 // A server was silent before it crashed, and is well since it has started again. New
@@ -75,15 +75,15 @@
 func TestANewStartIsNotAvoidedForWhatTheEarlierDid(t *testing.T) {
 	s := newSite(t, 2)
 	for _, server := range s.node.View().Servers {
-		s.start(server, s.now.Add(-time.Minute))
+		s.registerStart(server, s.now.Add(-time.Minute))
 	}
 	s.serve(live)
 	stuck, _ := s.open(live)
-	s.pass(200 * time.Millisecond)
+	s.advance(200 * time.Millisecond)
 	silent := stuck.server
-	stuck.repeat()
+	stuck.retransmit()
 	require.True(t, s.status(silent.Instance).Avoided)
-	s.start(silent, s.now)
+	s.registerStart(silent, s.now)
 	require.False(t, s.status(silent.Instance).Avoided)
 }
 
--- a/bronzesteer/steer_test.go
+++ b/bronzesteer/steer_test.go
@@ -26,7 +26,7 @@
 	c := s.serve(live)
 	server := c.server
 	s.node = s.newNode()
-	d := c.ask()
+	d := c.request()
 	require.Equal(t, Forward, d.Kind)
 	require.Equal(t, server.Instance, d.Server.Instance)
 }
@@ -41,7 +41,7 @@
 		{Service: live, Pools: []bronzeroute.WeightedPool{{Pool: "archive", Weight: 1}}, Idempotent: true},
 	}}, s.now)
 	s.node = s.newNode()
-	require.Equal(t, server.Instance, c.ask().Server.Instance)
+	require.Equal(t, server.Instance, c.request().Server.Instance)
 	_, d := s.open(live)
 	require.Equal(t, Decision{Kind: End, Reason: NoServer}, d, "the new pool has no servers")
 }
@@ -51,7 +51,7 @@
 	c := s.serve(live)
 	s.directory.SetTable(&bronzeroute.Table{Version: 2}, s.now)
 	s.node.SetView(s.directory.View())
-	require.Equal(t, Decision{Kind: End, Reason: RouteWithdrawn}, c.ask())
+	require.Equal(t, Decision{Kind: End, Reason: RouteWithdrawn}, c.request())
 	_, d := s.open(live)
 	require.Equal(t, Decision{Kind: End, Reason: NoRoute}, d)
 }
@@ -62,11 +62,11 @@
 	s := newSite(t, 2)
 	c := s.serve(live)
 	c.packet.Key = bronzeflow.NewKey(bronzeflow.TCP, c.packet.Key.CallerAddrPort(), netip.MustParseAddrPort("198.18.0.9:443"))
-	require.Equal(t, Decision{Kind: Drop, Reason: NoRoute}, c.ask())
+	require.Equal(t, Decision{Kind: Drop, Reason: NoRoute}, c.request())
 	c = s.serve(live)
 	s.node.shard(&c.packet).remove(c.packet.Key)
 	c.packet.Token ^= 1
-	require.Equal(t, Decision{Kind: Drop, Reason: TokenUnknown}, c.ask(), "a server that it doesn't know yet")
+	require.Equal(t, Decision{Kind: Drop, Reason: TokenUnknown}, c.request(), "a server that it doesn't know yet")
 }
 
 func TestFlowsOfAServerThatIsGoneEnd(t *testing.T) {
@@ -74,11 +74,11 @@
 	c := s.serve(live)
 	s.directory.Unregister(c.server.Instance, s.now)
 	s.node.SetView(s.directory.View())
-	require.Equal(t, Forward, c.ask().Kind, "its registration may be back")
-	s.pass(bronzeroute.MissingTimeout + time.Millisecond)
+	require.Equal(t, Forward, c.request().Kind, "its registration may be back")
+	s.advance(bronzeroute.MissingTimeout + time.Millisecond)
 	s.directory.Advance(s.now)
 	s.node.SetView(s.directory.View())
-	d := c.askAgain()
+	d := c.retransmitRequest()
 	require.Equal(t, Decision{Kind: End, Reason: ServerGone, Tried: d.Tried}, d)
 	require.Equal(t, c.server.Instance, d.Tried.Instance)
 }
@@ -89,8 +89,8 @@
 	s := newSite(t, 2)
 	c, d := s.open(live)
 	first := d.Server.Instance
-	s.pass(200 * time.Millisecond)
-	d = c.repeat()
+	s.advance(200 * time.Millisecond)
+	d = c.retransmit()
 	require.Equal(t, Retried, d.Reason)
 	require.NotEqual(t, first, d.Server.Instance)
 	require.Equal(t, first, d.Tried.Instance)
@@ -102,10 +102,10 @@
 	s := newSite(t, 1, 1)
 	c, d := s.open(live)
 	first := d.Server.Instance
-	s.pass(100 * time.Millisecond)
+	s.advance(100 * time.Millisecond)
 	s.serve(live)
-	s.pass(100 * time.Millisecond)
-	d = c.repeat()
+	s.advance(100 * time.Millisecond)
+	d = c.retransmit()
 	require.Equal(t, Repeated, d.Reason)
 	require.Equal(t, first, d.Server.Instance)
 }
@@ -119,8 +119,8 @@
 		s := newSite(t, 2)
 		c, d := s.open(live)
 		first, firstToken := d.Server.Instance, d.Token
-		s.pass(200 * time.Millisecond)
-		d = c.repeat()
+		s.advance(200 * time.Millisecond)
+		d = c.retransmit()
 		second, secondToken := d.Server.Instance, d.Token
 		taken, takenToken, otherToken := first, firstToken, secondToken
 		if late {
@@ -129,7 +129,7 @@
 		c.packet.Token = takenToken
 		require.Equal(t, taken, c.accept().Server.Instance)
 		c.packet.Token = otherToken
-		require.Equal(t, taken, c.ask().Server.Instance)
+		require.Equal(t, taken, c.request().Server.Instance)
 	}
 }
 
@@ -137,7 +137,7 @@
 	s := newSite(t, 2)
 	c := s.serve(live)
 	c.packet.Returned = true
-	require.Equal(t, Decision{Reason: NotACaller}, c.ask())
+	require.Equal(t, Decision{Reason: NotACaller}, c.request())
 	c.packet.Returned, c.packet.Open, c.packet.Accept = false, true, true
 	require.Equal(t, Decision{Reason: NotACaller}, c.send())
 }
@@ -159,7 +159,7 @@
 					clients = append(clients, c)
 				}
 			case 1:
-				s.pass(time.Duration(rapid.IntRange(1, 600).Draw(rt, "ms")) * time.Millisecond)
+				s.advance(time.Duration(rapid.IntRange(1, 600).Draw(rt, "ms")) * time.Millisecond)
 			case 2:
 				zone := rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "zone")
 				s.directory.Unregister(zone+"-0", s.now)
@@ -174,7 +174,7 @@
 				}
 				c := clients[rapid.IntRange(0, len(clients)-1).Draw(rt, "client")]
 				before := c.server
-				d := s.step(rt, c)
+				d := s.randomStep(rt, c)
 				switch {
 				case d.Kind == Forward && !c.packet.Open:
 					require.Equal(t, before.Instance, d.Server.Instance)
@@ -187,20 +187,20 @@
 }
 
 // step has a client do one thing that a caller may do next.
-func (s *site) step(rt *rapid.T, c *client) Decision {
+func (s *site) randomStep(rt *rapid.T, c *client) Decision {
 	if c.packet.Open {
 		if rapid.Bool().Draw(rt, "repeat") {
-			return c.repeat()
+			return c.retransmit()
 		}
 		return c.accept()
 	}
 	if c.packet.Length > 0 && rapid.Bool().Draw(rt, "again") {
-		return c.askAgain()
+		return c.retransmitRequest()
 	}
 	if c.packet.Length > 0 {
-		return c.answered()
+		return c.acknowledge()
 	}
-	return c.ask()
+	return c.request()
 }
 
 // A flood of openings to one Customer fills what a node follows of it. Memory
@@ -223,7 +223,7 @@
 	require.Equal(t, Placed, d.Reason)
 	require.Equal(t, bronzepool.NodeOpenDenied, d.TrackingDenial)
 	require.Equal(t, Steered, c.accept().Reason)
-	require.Equal(t, Steered, c.ask().Reason)
+	require.Equal(t, Steered, c.request().Reason)
 	require.Equal(t, before, s.node.Flows())
 	for _, status := range s.node.Servers(s.now) {
 		require.Zero(t, status.Work, "nothing is counted that would never be taken back")
@@ -267,7 +267,7 @@
 	}
 	_, d := s.open(live)
 	require.Equal(t, bronzepool.NodeHalfOpenDenied, d.TrackingDenial)
-	s.pass(openingTimeout + time.Second)
+	s.advance(openingTimeout + time.Second)
 	_, d = s.open(live)
 	require.Equal(t, bronzepool.Admitted, d.TrackingDenial)
 	require.Equal(t, 1, s.node.Flows())
--- a/bronzesteer/viewstate_test.go
+++ b/bronzesteer/viewstate_test.go
@@ -48,18 +48,18 @@
 				k := node.state.Load()
 				anew := &Steerer{AvailabilityZone: "a"}
 				anew.SetView(k.view)
-				requireAlike(t, anew.state.Load(), k)
+				requireSameState(t, anew.state.Load(), k)
 				for name, z := range node.zones {
 					require.Equal(t, anew.zone(name).servers, z.servers, name)
 				}
-				requireKept(t, seen, former, k)
+				requireStateKept(t, seen, former, k)
 			},
 		})
 	})
 }
 
 // requireAlike checks that two have the same servers, and the same pools.
-func requireAlike(t require.TestingT, want, got *viewState) {
+func requireSameState(t require.TestingT, want, got *viewState) {
 	names := func(members []member) (names []string) {
 		for _, m := range members {
 			require.Equal(t, m.server.Instance, m.backend.instance)
@@ -77,7 +77,7 @@
 
 // requireKept checks that what was seen of servers is kept, and pools that didn't
 // change.
-func requireKept(t require.TestingT, seen map[string]*backend, former, k *viewState) {
+func requireStateKept(t require.TestingT, seen map[string]*backend, former, k *viewState) {
 	for name := range seen {
 		if k.view.ByName(name) == nil {
 			delete(seen, name)
--- a/bronzesteer/warmup_test.go
+++ b/bronzesteer/warmup_test.go
@@ -23,12 +23,12 @@
 
 // warming is a fleet whose servers start, each node with callers of its own. Nothing but
 // their records and names is known to several nodes.
-type warming struct {
+type warmupFleet struct {
 	t         require.TestingT
 	directory bronzeroute.Directory
 	random    *rand.Rand
 	zones     []string
-	nodes     []*warmingNode
+	nodes     []*warmupNode
 	now       time.Time
 	port      uint16
 	caller    int
@@ -41,27 +41,27 @@
 	names     map[int]string
 	coldUntil map[string]time.Time
 	// asked and refused count the openings of callers, and those refused as servers are cold.
-	asked, refused int
+	opened, refused int
 }
 
 // warmingNode is a node with the names that it knows.
-type warmingNode struct {
+type warmupNode struct {
 	*Steerer
 	name string
 	zone int
 	// knows are the nodes of its zone that it has heard of. Isolated says that it hears no
 	// more of them, blind that it sees no more records.
-	knows    map[string]bool
-	isolated bool
-	blind    bool
+	knownPeers map[string]bool
+	isolated   bool
+	staleView  bool
 }
 
 const warmupFor = 2 * time.Second
 
 // newWarming returns a fleet of nodes and servers that are spread over the zones, all of
 // which have been there for long and know each other.
-func newWarming(t require.TestingT, nodes, zones, servers int, perSecond float64, seed uint64) *warming {
-	f := &warming{
+func newWarmupFleet(t require.TestingT, nodes, zones, servers int, perSecond float64, seed uint64) *warmupFleet {
+	f := &warmupFleet{
 		t: t, random: rand.New(rand.NewPCG(seed, 2)), now: begin, port: 1024, perSecond: perSecond,
 		sent: make(map[string][]time.Time), names: make(map[int]string), coldUntil: make(map[string]time.Time),
 	}
@@ -82,9 +82,9 @@
 	}
 	for _, n := range f.nodes {
 		for _, other := range f.nodes {
-			n.hear(other)
+			n.learn(other)
 		}
-		n.tell(f.now)
+		n.updatePeers(f.now)
 		n.start = f.now.Add(-time.Hour)
 		n.zonePeers.addedAt = 0
 	}
@@ -92,7 +92,7 @@
 }
 
 // start registers a server, cold for some time.
-func (f *warming) start(i int, cold time.Duration) {
+func (f *warmupFleet) start(i int, cold time.Duration) {
 	zone := f.zones[i%len(f.zones)]
 	f.starts++
 	name := fmt.Sprintf("server-%d-%d", i, f.starts)
@@ -107,7 +107,7 @@
 }
 
 // end has a server leave.
-func (f *warming) end(name string) {
+func (f *warmupFleet) end(name string) {
 	if f.directory.View() == nil || f.directory.View().ByName(name) == nil {
 		return
 	}
@@ -118,24 +118,24 @@
 }
 
 // publish has all nodes but those that are blind see the records.
-func (f *warming) publish() {
+func (f *warmupFleet) publish() {
 	v := f.directory.View()
 	for _, n := range f.nodes {
-		if !n.blind {
+		if !n.staleView {
 			n.SetView(v)
 		}
 	}
 }
 
 // join adds a node that knows nobody.
-func (f *warming) join(name string, zone int) *warmingNode {
+func (f *warmupFleet) join(name string, zone int) *warmupNode {
 	regions := make(map[string]string)
 	for _, z := range f.zones {
 		regions[z] = "r"
 	}
-	n := &warmingNode{
+	n := &warmupNode{
 		Steerer: &Steerer{AvailabilityZone: f.zones[zone], Region: "r", Regions: regions, Name: name, Random: f.random.IntN},
-		name:    name, zone: zone, knows: make(map[string]bool),
+		name:    name, zone: zone, knownPeers: make(map[string]bool),
 	}
 	n.SetView(f.directory.View())
 	n.start = f.now
@@ -144,17 +144,17 @@
 }
 
 // hear notes another node, and reports whether it is a new one of the zone.
-func (n *warmingNode) hear(other *warmingNode) (news bool) {
-	if other == n || other.zone != n.zone || n.knows[other.name] {
+func (n *warmupNode) learn(other *warmupNode) (news bool) {
+	if other == n || other.zone != n.zone || n.knownPeers[other.name] {
 		return false
 	}
-	n.knows[other.name] = true
+	n.knownPeers[other.name] = true
 	return true
 }
 
-func (n *warmingNode) tell(now time.Time) {
-	names := make([]string, 0, len(n.knows))
-	for name := range n.knows {
+func (n *warmupNode) updatePeers(now time.Time) {
+	names := make([]string, 0, len(n.knownPeers))
+	for name := range n.knownPeers {
 		names = append(names, name)
 	}
 	// Of one zone, the node may be the only one: it hears those of others.
@@ -162,25 +162,25 @@
 }
 
 // gossip has each node hear of some others, as messages bring their names.
-func (f *warming) gossip(names int) {
+func (f *warmupFleet) gossip(names int) {
 	for _, n := range f.nodes {
 		news := false
 		for range names {
 			other := f.nodes[f.random.IntN(len(f.nodes))]
-			news = !n.isolated && !other.isolated && n.hear(other) || news
+			news = !n.isolated && !other.isolated && n.learn(other) || news
 		}
 		if news {
-			n.tell(f.now)
+			n.updatePeers(f.now)
 		}
 	}
 }
 
 // ask sends one caller's opening to a node.
-func (f *warming) ask(n *warmingNode) {
+func (f *warmupFleet) open(n *warmupNode) {
 	f.caller++
 	caller := callerAddr(f.caller)
 	p := Packet{Key: bronzeflow.NewKey(bronzeflow.TCP, caller, live), Open: true, Bytes: []byte("opening")}
-	f.asked++
+	f.opened++
 	d := n.Decide(&p, f.now)
 	if d.Kind == End && d.Reason == ServersCold {
 		f.refused++
@@ -195,17 +195,17 @@
 }
 
 // count notes where an opening went.
-func (f *warming) count(d Decision) {
+func (f *warmupFleet) count(d Decision) {
 	if d.Kind == Forward && f.isCold(d.Server.Instance) {
 		f.sent[d.Server.Instance] = append(f.sent[d.Server.Instance], f.now)
 	}
 }
 
 // isCold reports whether the server is cold in truth, whatever nodes believe.
-func (f *warming) isCold(name string) bool { return f.now.Before(f.coldUntil[name]) }
+func (f *warmupFleet) isCold(name string) bool { return f.now.Before(f.coldUntil[name]) }
 
 // busiest returns the most openings that any server got in a second while cold.
-func (f *warming) busiest() (most int) {
+func (f *warmupFleet) peakRate() (most int) {
 	for _, at := range f.sent {
 		first := 0
 		for i := range at {
@@ -219,12 +219,12 @@
 }
 
 // requireKept checks that no server got more than it is allowed.
-func (f *warming) requireKept() {
-	require.LessOrEqual(f.t, float64(f.busiest()), excess*f.perSecond+slack)
+func (f *warmupFleet) requireWithinLimit() {
+	require.LessOrEqual(f.t, float64(f.peakRate()), excess*f.perSecond+slack)
 }
 
 // restart has a part of the servers start again, those of one zone or of all.
-func (f *warming) restart(servers, part int) {
+func (f *warmupFleet) restart(servers, part int) {
 	for i := range servers {
 		if f.random.IntN(4) < part {
 			f.start(i, warmupFor)
@@ -243,26 +243,26 @@
 		zones := rapid.IntRange(1, 4).Draw(r, "Zones")
 		servers := rapid.IntRange(1, 12).Draw(r, "Servers")
 		perSecond := float64(rapid.IntRange(1, 40).Draw(r, "PerSecond"))
-		f := newWarming(r, nodes, min(zones, nodes), servers, perSecond, rapid.Uint64().Draw(r, "Seed"))
+		f := newWarmupFleet(r, nodes, min(zones, nodes), servers, perSecond, rapid.Uint64().Draw(r, "Seed"))
 		cut := rapid.IntRange(0, nodes/3).Draw(r, "CutOff")
 		for i := range cut {
-			f.nodes[i].isolated, f.nodes[i].blind = true, i%2 == 0
+			f.nodes[i].isolated, f.nodes[i].staleView = true, i%2 == 0
 		}
 		joins := rapid.IntRange(0, nodes/8+1).Draw(r, "Joins")
 		f.restart(servers, rapid.IntRange(1, 4).Draw(r, "Part"))
 		for step := range 40 {
 			f.now = f.now.Add(time.Duration(20+f.random.IntN(60)) * time.Millisecond)
-			f.disturb(r, step, servers, joins)
+			f.injectEvent(r, step, servers, joins)
 			for range 60 {
-				f.ask(f.nodes[f.random.IntN(len(f.nodes))])
+				f.open(f.nodes[f.random.IntN(len(f.nodes))])
 			}
 		}
-		f.requireKept()
+		f.requireWithinLimit()
 	})
 }
 
 // disturb has something happen at some steps.
-func (f *warming) disturb(r *rapid.T, step, servers, joins int) {
+func (f *warmupFleet) injectEvent(r *rapid.T, step, servers, joins int) {
 	switch {
 	case step%20 == 10:
 		f.restart(servers, 4)
@@ -290,13 +290,13 @@
 		perSecond float64
 	}{{3, 1}, {3, 40}, {9, 10}, {84, 1}, {84, 40}, {295, 10}, {490, 1}, {490, 40}} {
 		const servers = 30
-		f := newWarming(t, c.nodes, 3, servers, c.perSecond, 7)
+		f := newWarmupFleet(t, c.nodes, 3, servers, c.perSecond, 7)
 		f.restart(servers, 4)
 		const step = 20 * time.Millisecond
 		for passed := time.Duration(0); passed < warmupFor; passed += step {
 			for _, n := range f.nodes {
 				for range max(1, servers/c.nodes) {
-					f.ask(n)
+					f.open(n)
 				}
 			}
 			f.now = f.now.Add(step)
@@ -306,9 +306,9 @@
 			total += len(at)
 		}
 		used := float64(total) / (c.perSecond * warmupFor.Seconds() * servers)
-		t.Logf("%d nodes, %v a second: %.2f used, busiest second %d of %v", c.nodes, c.perSecond, used, f.busiest(), excess*c.perSecond+slack)
+		t.Logf("%d nodes, %v a second: %.2f used, busiest second %d of %v", c.nodes, c.perSecond, used, f.peakRate(), excess*c.perSecond+slack)
 		require.Greater(t, used, 0.6)
-		f.requireKept()
+		f.requireWithinLimit()
 	}
 }
 
@@ -316,14 +316,14 @@
 // join, doesn't know how many others send to a cold server. It sends nothing there: its
 // callers are refused, or go to servers that are warm.
 func TestANodeThatKnowsNoNamesSparesColdServers(t *testing.T) {
-	f := newWarming(t, 3, 1, 2, 10, 1)
+	f := newWarmupFleet(t, 3, 1, 2, 10, 1)
 	f.restart(2, 4)
 	n := f.join("new", 0)
 	n.isolated = true
-	n.tell(f.now)
+	n.updatePeers(f.now)
 	f.now = f.now.Add(time.Second)
-	f.ask(n)
-	require.Equal(t, f.asked, f.refused)
+	f.open(n)
+	require.Equal(t, f.opened, f.refused)
 
 	f.directory.Register(bronzeroute.Server{
 		BackendServer: bronzeconf.BackendServer{
@@ -333,17 +333,17 @@
 	})
 	f.publish()
 	f.refused = 0
-	f.ask(n)
+	f.open(n)
 	require.Zero(t, f.refused)
 }
 
 // The configuration tells no limit. Servers are slow after a start all the same: they get
 // flows from all nodes, half as many as others.
 func TestColdServersWithoutALimitServe(t *testing.T) {
-	f := newWarming(t, 3, 1, 2, 0, 1)
+	f := newWarmupFleet(t, 3, 1, 2, 0, 1)
 	f.restart(2, 4)
 	for range 20 {
-		f.ask(f.nodes[2])
+		f.open(f.nodes[2])
 	}
 	require.Zero(t, f.refused)
 }
--- a/bronzesteer/zones_test.go
+++ b/bronzesteer/zones_test.go
@@ -11,7 +11,7 @@
 )
 
 // drain has the zone drained in the node's view.
-func (s *site) drain(zone string) {
+func (s *site) drainZone(zone string) {
 	s.directory.DrainZone(zone)
 	s.node.SetView(s.directory.View())
 }
@@ -21,24 +21,24 @@
 func TestNewFlowsKeepAwayFromADrainedZone(t *testing.T) {
 	s := newSite(t, 3, 3, 3)
 	s.node.Random = rand.New(rand.NewPCG(1, 2)).IntN
-	open := s.load(6, outline)
-	s.drain("a")
+	open := s.serveN(6, outline)
+	s.drainZone("a")
 	require.Equal(t, len(open), s.node.FlowsInDrainedZones())
-	byServer, byZone := s.spread(120)
+	byServer, byZone := s.serveAndCount(120)
 	require.Zero(t, byZone["a"])
 	for _, n := range byServer {
 		require.InDelta(t, 20, n, 8)
 	}
-	s.round(open)
+	s.exchange(open)
 	for _, c := range open {
 		require.Equal(t, "a", c.server.AvailabilityZone)
 	}
 	require.Empty(t, s.endings)
 
-	s.pass(20 * time.Second)
+	s.advance(20 * time.Second)
 	s.directory.UndrainZone("a", s.now)
 	s.node.SetView(s.directory.View())
-	_, byZone = s.spread(30)
+	_, byZone = s.serveAndCount(30)
 	require.Equal(t, 30, byZone["a"])
 }
 
@@ -48,17 +48,17 @@
 	s := newSite(t, 1, 1)
 	_, d := s.open(live)
 	require.Equal(t, "a", d.Server.AvailabilityZone)
-	s.drain("a")
-	s.pass(defaultHedgeDelay)
+	s.drainZone("a")
+	s.advance(defaultHedgeDelay)
 	hedges := s.node.Hedges(s.now)
 	require.Len(t, hedges, 1)
 	require.Equal(t, "b", hedges[0].Decision.Server.AvailabilityZone)
 
 	s = newSite(t, 1, 1)
 	c, _ := s.open(live)
-	s.drain("a")
-	s.pass(200 * time.Millisecond)
-	require.Equal(t, "b", c.repeat().Server.AvailabilityZone)
+	s.drainZone("a")
+	s.advance(200 * time.Millisecond)
+	require.Equal(t, "b", c.retransmit().Server.AvailabilityZone)
 }
 
 // All servers that could take a caller's flow are in drained zones. It is refused at once,
@@ -67,13 +67,13 @@
 func TestOpeningsAreRefusedWhereAllZonesAreDrained(t *testing.T) {
 	s := newSite(t, 2, 2)
 	early, _ := s.open(live)
-	s.drain("a")
-	s.drain("b")
+	s.drainZone("a")
+	s.drainZone("b")
 	_, d := s.open(live)
 	require.Equal(t, Decision{Kind: End, Reason: ZoneDrained}, d)
-	s.pass(200 * time.Millisecond)
+	s.advance(200 * time.Millisecond)
 	token := early.packet.Token
-	d = early.repeat()
+	d = early.retransmit()
 	early.packet.Token = token
 	require.Equal(t, Drop, d.Kind)
 	require.Equal(t, ZoneDrained, d.Reason)
@@ -88,12 +88,12 @@
 // silent, or gone, or the registrations of all lapse.
 func TestADrainedZoneIsNoLastResort(t *testing.T) {
 	s := newSite(t, 2, 2)
-	s.drain("b")
+	s.drainZone("b")
 	for range 8 {
 		c, d := s.open(live)
 		require.Equal(t, "a", d.Server.AvailabilityZone)
-		s.pass(200 * time.Millisecond)
-		if d = c.repeat(); d.Kind == Forward {
+		s.advance(200 * time.Millisecond)
+		if d = c.retransmit(); d.Kind == Forward {
 			require.Equal(t, "a", d.Server.AvailabilityZone)
 		}
 	}
@@ -113,7 +113,7 @@
 
 // A route has a second pool for when its first has no server. That is drained, too.
 func TestASecondPoolInADrainedZoneTakesNothing(t *testing.T) {
-	s, _ := newCutSite(t)
+	s, _ := newPartitionedSite(t)
 	s.directory.SetTable(&bronzeroute.Table{Version: 3, Routes: []bronzeroute.Route{{
 		Name: "archive", Service: archive,
 		Pools: []bronzeroute.WeightedPool{{Pool: "none", Weight: 1 << 30}, {Pool: "archive", Weight: 1}},
@@ -121,7 +121,7 @@
 	s.node.SetView(s.directory.View())
 	_, d := s.open(archive)
 	require.Equal(t, Forward, d.Kind)
-	s.drain("b")
+	s.drainZone("b")
 	_, d = s.open(archive)
 	require.Equal(t, Decision{Kind: End, Reason: ZoneDrained}, d)
 }
@@ -131,8 +131,8 @@
 func TestADrainedZoneOfALargePoolTakesNothing(t *testing.T) {
 	s := newSite(t, 100, 100)
 	s.node.Random = rand.New(rand.NewPCG(3, 4)).IntN
-	s.drain("a")
-	byServer, byZone := s.spread(200)
+	s.drainZone("a")
+	byServer, byZone := s.serveAndCount(200)
 	require.Zero(t, byZone["a"])
 	for _, n := range byServer {
 		require.LessOrEqual(t, n, 6)
