--- a/bronzesteer/failure_test.go
+++ b/bronzesteer/failure_test.go
@@ -43,7 +43,7 @@
 // A server falls silent. Its callers ask again after 200 ms and would go on
 // until their deadline. They see a reset instead, at their next packet, and
 // are served by another server; a new caller isn't sent to the silent one.
-func TestCallersOfASilentServerAreSentElsewhere(t *testing.T) {
+func TestFailedServerIdempotentFlowsReset(t *testing.T) {
 	s := newSite(t, 4)
 	clients := s.serveN(16, live)
 	stuck, others := splitAtFirstServer(clients)
@@ -66,7 +66,7 @@
 
 // The same, but the requests must not be repeated. A reset would end them for
 // good, and the server may have run them: the flow is left alone.
-func TestFlowsThatMustNotBeRepeatedAreNotEnded(t *testing.T) {
+func TestFailedServerNonIdempotentFlowsKept(t *testing.T) {
 	s := newSite(t, 4)
 	stuck, others := splitAtFirstServer(s.serveN(16, outline))
 	s.stopAnswering(stuck, others)
@@ -81,7 +81,7 @@
 
 // A single packet of a flow is lost, and its caller asks again. The server
 // answers others meanwhile, so nothing is wrong with it.
-func TestLostPacketsDontMakeAServerSilent(t *testing.T) {
+func TestServerNotFailedByLostPackets(t *testing.T) {
 	s := newSite(t, 2)
 	clients := s.serveN(12, live)
 	there, _ := splitAtFirstServer(clients)
@@ -100,7 +100,7 @@
 
 // The node itself is late: its link is full, and callers of all servers ask
 // again. Ending their flows would break hundreds that are well.
-func TestLateNodeEndsNoFlows(t *testing.T) {
+func TestDelayedNodeKeepsFlows(t *testing.T) {
 	s := newSite(t, 4)
 	clients := s.serveN(16, live)
 	stuck := clients[:15]
@@ -121,7 +121,7 @@
 // callers whose flows are in zone b, and that were served by another node, come
 // to this one. It heard nothing of zone b since, good or bad: what it last saw
 // must not end their flows.
-func TestSilenceIsForgotten(t *testing.T) {
+func TestZonePartitionRecovery(t *testing.T) {
 	s := newSite(t, 4, 4)
 	own := s.serveN(8, live)
 	far := s.zoneBFlows(8)
@@ -166,7 +166,7 @@
 // Two servers of zone b crash, and this node sends little to the zone. It looks
 // like a cut of the zone, but a third server of it is well, and its caller asks
 // for the first time in a while: the flow must go on.
-func TestTwoCrashesAreNoCutOfTheirZone(t *testing.T) {
+func TestZoneReachableWithTwoCrashes(t *testing.T) {
 	s := newSite(t, 4, 4)
 	own := s.serveN(8, live)
 	s.advance(time.Second)
@@ -195,7 +195,7 @@
 // repeated, with none at work. Its next request would be lost. The flow is ended
 // before, so that the caller opens another one; a flow with a request at work is
 // left alone, because only the server knows whether it ran.
-func TestIdleFlowsOfADeadServerAreEnded(t *testing.T) {
+func TestFailedServerIdleFlowsReset(t *testing.T) {
 	s := newSite(t, 4)
 	idle, _ := splitAtFirstServer(s.serveN(8, outline))
 	clients := s.serveN(16, live)
--- a/bronzesteer/fleet_test.go
+++ b/bronzesteer/fleet_test.go
@@ -60,7 +60,7 @@
 // Whatever a minority of nodes says of servers, for as long as it likes and to whomever, no
 // flow is ended at a server that answers the others' callers, of the others' flows. What
 // they say may keep some new flows away from it.
-func TestWhatAMinoritySaysEndsNoFlows(t *testing.T) {
+func TestFaultyMinorityKeepsFlows(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		nodes := rapid.IntRange(smallFleetPeers+2, 24).Draw(r, "Nodes")
 		liars := rapid.IntRange(1, (nodes-1)/2).Draw(r, "Liars")
--- a/bronzesteer/hang_test.go
+++ b/bronzesteer/hang_test.go
@@ -60,7 +60,7 @@
 // waits for nothing until its deadline: the host has acknowledged the data, so that it isn't
 // sent again, and the node forgets the request after a moment. The server then has nothing
 // to do, as it seems, and gets its part of the callers and more.
-func TestAServerThatHangsLooksSlow(t *testing.T) {
+func TestHangingServerGetsLess(t *testing.T) {
 	c := newCallers(t)
 	c.hanging = "a-0"
 	c.arrive(40)
@@ -71,7 +71,7 @@
 }
 
 // It is well again. What counted against it fades, and it gets its part.
-func TestAServerThatNoLongerHangsIsForgiven(t *testing.T) {
+func TestHangingServerRecovers(t *testing.T) {
 	c := newCallers(t)
 	c.hanging = "a-0"
 	c.arrive(40)
@@ -84,7 +84,7 @@
 
 // Callers acknowledge answers only with their next request, so that each seems to be
 // missing for as long as its caller has nothing to ask. No server counts as slow for it.
-func TestAnswersThatShowLateAreNotMissing(t *testing.T) {
+func TestDelayedAcksNotOverdue(t *testing.T) {
 	c := newCallers(t)
 	c.lateAcks = true
 	c.arrive(200)
--- a/bronzesteer/hedge_test.go
+++ b/bronzesteer/hedge_test.go
@@ -36,7 +36,7 @@
 // repeat it after 200 ms, which is late for a request that should take 150. Some
 // milliseconds after other servers would have answered, another one is asked, and the
 // next caller isn't sent to the silent one at all.
-func TestAnOpeningAtASilentServerIsHedged(t *testing.T) {
+func TestHedgeUnresponsiveServer(t *testing.T) {
 	s := newSite(t, 3)
 	s.completeHandshakes(20, 3*time.Millisecond)
 	c, d := s.open(live)
@@ -62,7 +62,7 @@
 
 // Of three servers two are silent, and an opening meets both. It goes on to the third,
 // and no further.
-func TestAHedgeIsHedgedToo(t *testing.T) {
+func TestHedgeTwice(t *testing.T) {
 	s := newSite(t, 4)
 	s.completeHandshakes(20, 3*time.Millisecond)
 	_, d := s.open(live)
@@ -79,7 +79,7 @@
 // The first server answers after all, and then the second: the caller goes on with the
 // first, but sends back what the second said last. Steered by that, its packets would
 // reach a server that doesn't have the flow, which would end it.
-func TestAHedgedFlowStaysWithTheServerThatItsCallerTook(t *testing.T) {
+func TestHedgeLostKeepsServer(t *testing.T) {
 	s := newSite(t, 3)
 	s.completeHandshakes(20, 3*time.Millisecond)
 	c, d := s.open(live)
@@ -98,7 +98,7 @@
 // The same, but the caller took the second server's acceptance; the first's comes a moment
 // later. The node sees it by the token that the caller sends back then: the first server
 // is late, not silent, and new callers go there again at once.
-func TestALateAcceptanceClearsItsServer(t *testing.T) {
+func TestHedgeLateAcceptClearsServer(t *testing.T) {
 	s := newSite(t, 3)
 	s.completeHandshakes(20, 3*time.Millisecond)
 	c, d := s.open(live)
@@ -114,7 +114,7 @@
 
 // Servers are far away, or the node is slow: answers take 30 ms. Openings are left that
 // time; hedged after the usual few milliseconds, each would go to two servers.
-func TestHedgesWaitAsLongAsAnswersTake(t *testing.T) {
+func TestHedgeDelayFollowsHandshakeTime(t *testing.T) {
 	s := newSite(t, 3)
 	s.completeHandshakes(30, 30*time.Millisecond)
 	_, _ = s.open(live)
@@ -126,7 +126,7 @@
 
 // All servers of a large zone fall silent while callers press. If each opening were sent
 // to three servers, the others would have three times the openings.
-func TestHedgesAreFew(t *testing.T) {
+func TestHedgeBudget(t *testing.T) {
 	s := newSite(t, 6, 6)
 	s.completeHandshakes(20, 3*time.Millisecond)
 	hedged := 0
@@ -143,7 +143,7 @@
 // Callers come at once, and the servers have more to do than they can do in time. An
 // opening that waits in that crowd isn't sent to a further server, where it would only
 // take the place of another caller's.
-func TestOpeningsArentHedgedWhereServersAreBusy(t *testing.T) {
+func TestHedgeNotSentWhenOverloaded(t *testing.T) {
 	s := newSite(t, 3)
 	shares := []bronzeroute.WeightedPool{{Pool: "live", Weight: 1}}
 	s.directory.SetTable(&bronzeroute.Table{Version: 2, Routes: []bronzeroute.Route{
@@ -162,7 +162,7 @@
 // However openings are answered, repeated, given up and hedged, each goes to at most
 // hedgesMost further servers, never to the one that was just asked, and none is sent
 // once its caller has gone on.
-func TestHedgesKeepTheirBounds(t *testing.T) {
+func TestHedgeInvariants(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		s := newSite(t, 3, 2)
 		var waiting []*client
--- a/bronzesteer/overload_test.go
+++ b/bronzesteer/overload_test.go
@@ -136,7 +136,7 @@
 // are served late, although the servers work on as many requests as they can.
 // Those whose turn would come too late must be told at once, so that most of the
 // others are served in time.
-func TestMostAreServedInTimeWhenTooManyCome(t *testing.T) {
+func TestOverloadGoodput(t *testing.T) {
 	q := newQueueSite(t, 3)
 	const capacity = 6 * 2 * float64(time.Second/simWork)
 	q.run(live, 1.3*capacity, 8*time.Second)
@@ -148,7 +148,7 @@
 // The same with a service of so many servers that openings look at a sample of
 // them, and at what is known of the others together, which is some milliseconds
 // old: if it were too old, callers would be let in and turned away by turns.
-func TestMostAreServedInTimeByALargePool(t *testing.T) {
+func TestOverloadGoodputLargePool(t *testing.T) {
 	const perZone = 30
 	require.Greater(t, 2*perZone, maxFullScan)
 	q := newQueueSite(t, perZone)
@@ -159,7 +159,7 @@
 }
 
 // Half as many callers again as usual find free slots: nobody is turned away.
-func TestNobodyIsTurnedAwayWhileThereIsRoom(t *testing.T) {
+func TestNoSheddingBelowCapacity(t *testing.T) {
 	q := newQueueSite(t, 3)
 	const capacity = 6 * 2 * float64(time.Second/simWork)
 	q.run(live, 0.7*capacity, 8*time.Second)
@@ -169,7 +169,7 @@
 
 // The pool's other endpoint has a caller a second. They are not what fills
 // the queues, so none of them is turned away.
-func TestEndpointWithFewCallersIsNotTurnedAway(t *testing.T) {
+func TestNoSheddingForQuietEndpoint(t *testing.T) {
 	q := newQueueSite(t, 3)
 	for i := range 8 {
 		q.after(time.Duration(i)*time.Second, func() {
--- a/bronzesteer/pause_test.go
+++ b/bronzesteer/pause_test.go
@@ -29,7 +29,7 @@
 // that asks again when the node has woken. The servers have answered other nodes all the
 // while. The node that woke tells nobody that they are silent, sends none of the openings
 // on, and ends no flow at any of them.
-func TestANodeThatStoodStillFindsNobodySilent(t *testing.T) {
+func TestPausedNodeReportsNothing(t *testing.T) {
 	s := newSite(t, 6)
 	s.node.SetPeerCount(294)
 	idle := s.serveN(12, outline)
@@ -56,7 +56,7 @@
 
 // The same node judges servers again two seconds after it woke: one that crashed meanwhile
 // is found, and told of.
-func TestANodeThatStoodStillJudgesAgain(t *testing.T) {
+func TestPausedNodeResumesDetection(t *testing.T) {
 	s := newSite(t, 6)
 	s.node.SetPeerCount(294)
 	s.completeHandshakes(20, 3*time.Millisecond)
@@ -75,7 +75,7 @@
 // Findings that a node had from others before it stood still are as old as the pause when
 // it wakes, and the servers may have answered since. It neither passes them on nor goes by
 // them.
-func TestFindingsFromBeforeAPauseAreForgotten(t *testing.T) {
+func TestPausedNodeDiscardsFindings(t *testing.T) {
 	s := newSite(t, 6)
 	s.node.SetPeerCount(294)
 	idle, _ := splitAtFirstServer(s.serveN(12, outline))
@@ -97,7 +97,7 @@
 // node doesn't know that yet when a packet of an open flow comes: its caller isn't reset,
 // and repeats the packet a moment later. Once the records are confirmed, a flow of a server
 // that is gone is ended as ever.
-func TestRecordsFromBeforeAPauseEndNoFlows(t *testing.T) {
+func TestPausedNodeUnconfirmedRecords(t *testing.T) {
 	s := newSite(t, 3)
 	there, _ := splitAtFirstServer(s.serveN(9, live))
 	require.Greater(t, len(there), 1)
@@ -123,7 +123,7 @@
 // A node had nothing to run on for a while. A caller's opening waited in its socket with
 // both of its copies, and is read with them; the caller has gone elsewhere and goes on with
 // no server. None of them is asked twice, avoided or told of.
-func TestCopiesThatWaitedWithTheirOpeningShowNoSilence(t *testing.T) {
+func TestDelayedRetransmitsNotCounted(t *testing.T) {
 	s := newSite(t, 3)
 	s.node.SetPeerCount(294)
 	s.completeHandshakes(20, 3*time.Millisecond)
@@ -141,7 +141,7 @@
 
 // One node of a large fleet says that all servers are silent: it is its own link or
 // processor that is. New flows keep away from a tenth of them at most.
-func TestOneNodesWordKeepsFlowsFromFewServers(t *testing.T) {
+func TestReportLimitPerNode(t *testing.T) {
 	const servers = 100
 	s := newSite(t, servers)
 	s.node.SetPeerCount(294)
@@ -161,7 +161,7 @@
 
 // News takes a step more for each fourfold size of the fleet, and as many back for what
 // contradicts it.
-func TestWaitsForNewsFollowFromTheFleetsSize(t *testing.T) {
+func TestPropagationTime(t *testing.T) {
 	var s Steerer
 	for others, want := range map[int]time.Duration{
 		0: 0, smallFleetPeers: 0, 19: 800, 65: 800, 77: 800, 294: 1000, 489: 1000, 1100: 1200,
--- a/bronzesteer/place_test.go
+++ b/bronzesteer/place_test.go
@@ -21,7 +21,7 @@
 	return byServer, byZone
 }
 
-func TestFlowsStayInTheirZone(t *testing.T) {
+func TestPlaceInOwnZone(t *testing.T) {
 	s := newSite(t, 3, 3)
 	_, byZone := s.serveAndCount(60)
 	require.Equal(t, map[string]int{"a": 60}, byZone)
@@ -31,7 +31,7 @@
 // when 1.7 times the usual users come, and other zones have room. Kept in the
 // zone, requests waited for each other and a sixth was late. As many flows
 // leave as bring the zone's use to 1.25 times the average.
-func TestFlowsLeaveAFullZone(t *testing.T) {
+func TestPlaceSpillsFromFullZone(t *testing.T) {
 	s := newSite(t, 2, 2, 2)
 	r := rand.New(rand.NewPCG(1, 2))
 	s.node.Random = r.IntN
@@ -62,7 +62,7 @@
 // of one zone come back at once: within half a second each opens a flow and asks.
 // Kept in their zone they would fill its servers' queues, which then refuse, while
 // those of other zones are idle. No rate tells of it yet.
-func TestFlowsLeaveAZoneThatASurgeFills(t *testing.T) {
+func TestPlaceSpillsDuringSurge(t *testing.T) {
 	s := newSite(t, 2, 2, 2)
 	r := rand.New(rand.NewPCG(3, 4))
 	s.node.Random = r.IntN
@@ -85,7 +85,7 @@
 }
 
 // What other nodes told long ago says nothing of now.
-func TestOldLoadsDontCount(t *testing.T) {
+func TestPeerLoadsExpire(t *testing.T) {
 	s := newSite(t, 2, 2)
 	s.node.Random = func(n int) int { return n - 1 }
 	var full []Load
@@ -104,7 +104,7 @@
 }
 
 // Of many nodes only some are heard in time. What they tell stands for all.
-func TestLoadsOfSomeNodesStandForAll(t *testing.T) {
+func TestPeerLoadsExtrapolated(t *testing.T) {
 	s := newSite(t, 1)
 	server := s.node.View().Servers[0]
 	s.node.SetPeerCount(10)
@@ -117,7 +117,7 @@
 
 // A node that sends to more servers than it may tell of tells of those that it
 // sends most to, and of none that it hardly sends anything to.
-func TestLoadsAreOfTheBusiestServers(t *testing.T) {
+func TestLoadsBusiestServers(t *testing.T) {
 	s := newSite(t, maxLoads+10)
 	s.advance(loadInterval)
 	for i, server := range s.node.View().Servers {
@@ -136,7 +136,7 @@
 
 // A server that has just started works at half speed. With a full share of
 // the flows its callers would wait.
-func TestColdServerGetsAPartOfItsShare(t *testing.T) {
+func TestPlaceColdServer(t *testing.T) {
 	s := newSite(t, 2)
 	cold := s.node.View().ByName("a-0")
 	warm := *cold
@@ -153,7 +153,7 @@
 }
 
 // A server works slowly, though it says it is well. Its answers show it.
-func TestSlowServerGetsLess(t *testing.T) {
+func TestPlaceSlowServer(t *testing.T) {
 	s := newSite(t, 2)
 	slow := s.node.state.Load().backendOf(s.node.View().ByName("a-0"), nil)
 	quick := s.node.state.Load().backendOf(s.node.View().ByName("a-1"), nil)
@@ -165,7 +165,7 @@
 	require.Less(t, byServer["a-0"], 30)
 }
 
-func TestDrainingServersGetNoNewFlows(t *testing.T) {
+func TestPlaceSkipsDrainingServers(t *testing.T) {
 	s := newSite(t, 2, 1)
 	for _, name := range []string{"a-0", "a-1"} {
 		server := *s.node.View().ByName(name)
@@ -180,7 +180,7 @@
 // All registrations of a pool disappear at once, as when the discovery service
 // loses them. Refusing every caller would be worse than to ask servers that
 // may be gone.
-func TestMissingServersAreUsedWhereThereAreNoOthers(t *testing.T) {
+func TestPlaceMissingServersAsLastResort(t *testing.T) {
 	s := newSite(t, 2)
 	for _, name := range []string{"a-0", "a-1"} {
 		s.directory.Unregister(name, s.now)
@@ -196,7 +196,7 @@
 
 // The only archive server of a zone has left, and the zone is cut off. Routes
 // that name two pools use the one that can be reached.
-func TestOtherPoolIsUsedWhereTheFirstIsSilent(t *testing.T) {
+func TestPlaceFallsBackToOtherPool(t *testing.T) {
 	s := newSite(t, 2)
 	archive := bronzeroute.Server{Pool: "archive"}
 	archive.Instance, archive.AvailabilityZone, archive.Slots = "b-0", "b", 2
@@ -234,7 +234,7 @@
 // A server has become slow. Of many nodes each sends it a request now and then: this one
 // has seen it quick, long ago, and would go on sending callers there. It goes by what the
 // others see.
-func TestSlowServerIsKnownFromOtherNodes(t *testing.T) {
+func TestPlaceUsesPeerLatency(t *testing.T) {
 	s := newSite(t, 2)
 	s.serveN(4, live)
 	k := s.node.state.Load()
@@ -259,7 +259,7 @@
 // A server fails every request at once, with its health good. By its latency and its load
 // it would be the quickest and idlest of all, and draw most of the callers, who all get
 // errors. It gets few, and callers again when that is some time ago.
-func TestServerThatFailsAtOnceGetsLess(t *testing.T) {
+func TestPlaceFastFailingServer(t *testing.T) {
 	s := newSite(t, 4)
 	s.serveN(16, live)
 	s.advance(loadInterval)
@@ -289,7 +289,7 @@
 
 // Of two servers one is slow, and answers take so long on average that those of the other
 // seem too quick to be more than errors. They are what is usual, all the same.
-func TestQuickServerBesideASlowOneIsNotTakenForAFailingOne(t *testing.T) {
+func TestFastServerBesideSlowOne(t *testing.T) {
 	s := newSite(t, 2)
 	k := s.node.state.Load()
 	slow, quick := k.backendOf(s.node.View().ByName("a-0"), nil), k.backendOf(s.node.View().ByName("a-1"), nil)
@@ -308,7 +308,7 @@
 // would be kept away from in turn, and the callers would fill the next: of a day with 1.6
 // times the callers and some slow servers, twice as many requests were late. Their quick
 // answers count as what they are.
-func TestBusyServersThatRefuseAreNotTakenForFailing(t *testing.T) {
+func TestBusyServerNotFastFailing(t *testing.T) {
 	s := newSite(t, 4)
 	s.serveN(16, live)
 	s.advance(loadInterval)
--- a/bronzesteer/pool_test.go
+++ b/bronzesteer/pool_test.go
@@ -15,7 +15,7 @@
 // openings a second and a tenth of a core. When all servers were looked at, that
 // took a fifth of what the node has, and its callers' packets waited for it. A
 // sample does, if flows are spread nearly as evenly.
-func TestSampleOfALargePoolSpreadsFlows(t *testing.T) {
+func TestLargePoolSampleBalance(t *testing.T) {
 	const perZone, each = 400, 8
 	s := newSite(t, perZone, perZone, perZone)
 	r := rand.New(rand.NewPCG(1, 2))
@@ -44,7 +44,7 @@
 // A sample may hold none of the servers that can take a flow. Its caller would
 // be sent to a silent server, or away, though there is one that answers; then
 // all are looked at.
-func TestServerThatASampleMissesIsFound(t *testing.T) {
+func TestLargePoolSampleFallback(t *testing.T) {
 	s := newSite(t, 100, 100)
 	for i, server := range s.node.View().Servers {
 		if i == 77 {
@@ -62,7 +62,7 @@
 
 // What is kept of a pool as a whole must not hide a surge: requests that came since
 // count at once, so that openings are turned away in time.
-func TestRequestsAtWorkCountAtOnceInALargePool(t *testing.T) {
+func TestLargePoolInFlightUpToDate(t *testing.T) {
 	s := newSite(t, 100)
 	p := s.node.state.Load().pools["live"]
 	at := s.node.sinceStart(s.now)
@@ -79,7 +79,7 @@
 }
 
 // A sample has no server twice, and over time each.
-func TestSampleDrawsAll(t *testing.T) {
+func TestLargePoolSampleCoverage(t *testing.T) {
 	s := newSite(t, 60, 60)
 	r := rand.New(rand.NewPCG(3, 4))
 	s.node.Random = r.IntN
--- a/bronzesteer/probe_test.go
+++ b/bronzesteer/probe_test.go
@@ -42,7 +42,7 @@
 // only idle flows there, whose callers would lose their next request. The opening of a
 // caller tries the server and goes on to another one at once; when no answer has come, the
 // idle flows are ended.
-func TestIdleFlowsOfADeadServerAreFoundByATrial(t *testing.T) {
+func TestProbeConfirmsFailure(t *testing.T) {
 	s, idle := newIdleSite(t)
 	s.reportUntilProbed("a-0")
 	list := s.nextHedges()
@@ -65,7 +65,7 @@
 // What the two nodes say is wrong: their packets are late. The server accepts the opening
 // that tries it, and no flow is ended, however long they go on; other nodes are told that
 // it answers.
-func TestATrialThatIsAnsweredKeepsFlows(t *testing.T) {
+func TestProbeAnsweredKeepsFlows(t *testing.T) {
 	s, _ := newIdleSite(t)
 	tries := s.reportUntilProbed("a-0")
 	s.now = s.now.Add(3 * time.Millisecond)
@@ -84,7 +84,7 @@
 // A server is well, and one packet of another node's was lost; both openings that try the
 // server from here are, too, as packets may be. That is too little to end flows, however
 // long nothing else is heard: the next opening is answered.
-func TestTwoTrialsAndAnotherNodesWordEndNoFlow(t *testing.T) {
+func TestProbesAndOneReportKeepFlows(t *testing.T) {
 	s, _ := newIdleSite(t)
 	told := s.peerReport("a-0", 7, 1, 20*time.Millisecond)
 	told.Requests = 0
--- a/bronzesteer/refuse_test.go
+++ b/bronzesteer/refuse_test.go
@@ -100,7 +100,7 @@
 // callers repeat their openings until they give up after 1.4 s. The next are told
 // at once, but for one in 200 ms; when the cut is healed that one is answered,
 // and all others are served.
-func TestCallersOfAPoolThatIsCutOffAreToldAtOnce(t *testing.T) {
+func TestRefuseUnreachablePool(t *testing.T) {
 	c := newCrowd(t)
 	c.run(5 * time.Second)
 	c.refused, c.forwarded = 0, 0
@@ -117,7 +117,7 @@
 
 // A copy of an opening may follow one that a server has just accepted, at this
 // node or another: a reset would end a flow that is open.
-func TestCopiesOfOpeningsAreNotTurnedAway(t *testing.T) {
+func TestRefuseNotRetransmits(t *testing.T) {
 	c := newCrowd(t)
 	c.run(3 * time.Second)
 	s := c.site
@@ -130,7 +130,7 @@
 }
 
 // A node that itself hears nobody doesn't know who is cut off.
-func TestNodeThatHearsNobodyTurnsNobodyAway(t *testing.T) {
+func TestRefuseNotWhenIsolated(t *testing.T) {
 	s, _ := newPartitionedSite(t)
 	for range 40 {
 		_, d := s.open(archive)
--- a/bronzesteer/report_test.go
+++ b/bronzesteer/report_test.go
@@ -55,7 +55,7 @@
 // sent through it comes a quarter of a second late. Three openings at a server are
 // repeated by their callers before its acceptances come through. Other nodes are served
 // by it all the while, and a caller has an idle flow there, which isn't ended.
-func TestANodeWithAFullLinkEndsNoFlows(t *testing.T) {
+func TestCongestedNodeKeepsFlows(t *testing.T) {
 	s := newSite(t, 4)
 	s.node.SetPeerCount(65)
 	idle, _ := splitAtFirstServer(s.serveN(24, outline))
@@ -82,7 +82,7 @@
 // comes. What it finds after that is no better: three flows at another server are left
 // unanswered for as long as it would take to end flows there, and none is ended, nor do
 // other nodes hear of it.
-func TestANodeThatWasWrongJudgesNobody(t *testing.T) {
+func TestFalseSuspicionsSuspendDetection(t *testing.T) {
 	s := newSite(t, 4)
 	idle, _ := splitAtFirstServer(s.serveN(16, outline))
 	require.NotEmpty(t, idle)
@@ -113,7 +113,7 @@
 // the other node tells. When news that contradicts it would have come from any node, that
 // is enough: the caller of a request that may be repeated is told at once, and so are those
 // of idle flows, long before this node alone could know.
-func TestFindingsOfTwoNodesEndFlowsOfADeadServer(t *testing.T) {
+func TestReportsConfirmFailure(t *testing.T) {
 	s := newSite(t, 6)
 	s.node.SetPeerCount(65)
 	idle, _ := splitAtFirstServer(s.serveN(12, outline))
@@ -144,7 +144,7 @@
 
 // The same findings, but a third node has been answered since: the server is slow, or the
 // links of two nodes are full. No flow is ended, and new flows go there again.
-func TestAnAnswerElsewhereClearsAServer(t *testing.T) {
+func TestReportsAnswerClearsServer(t *testing.T) {
 	s := newSite(t, 6)
 	s.node.SetPeerCount(65)
 	waiting, _ := splitAtFirstServer(s.serveN(12, live))
@@ -166,7 +166,7 @@
 
 // Two nodes of other zones can't reach the servers of zone b, which is cut off from
 // theirs, and this node's way there is fine. Its callers' idle flows there go on.
-func TestFindingsFromBehindACutEndNoFlows(t *testing.T) {
+func TestReportsFromOtherZonesKeepFlows(t *testing.T) {
 	s := newSite(t, 4, 4)
 	s.node.SetPeerCount(5)
 	s.serveN(8, live)
@@ -188,7 +188,7 @@
 // Reports go from node to node, each with its age, and stop: what is no news isn't passed
 // on, and after suspicionFor nothing is left to tell. Without an end, the findings of a
 // fleet would go round in it for good.
-func TestReportsEnd(t *testing.T) {
+func TestReportsExpire(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		s := newSite(t, 4)
 		s.serveN(8, live)
@@ -213,7 +213,7 @@
 // answer comes 40 ms later. Nothing of that is told: all nodes would tell each other of
 // each such moment, and again that it was nothing. A server that stays silent is told of
 // after a tenth of a second.
-func TestShortDelaysAreNotTold(t *testing.T) {
+func TestReportsShortDelays(t *testing.T) {
 	s := newSite(t, 3)
 	s.node.SetPeerCount(65)
 	s.completeHandshakes(20, 3*time.Millisecond)
--- a/bronzesteer/restart_test.go
+++ b/bronzesteer/restart_test.go
@@ -22,7 +22,7 @@
 // only with its next request that the flow is no more, and that one would be lost. It
 // is told before. A caller whose flow was opened when the new start was there, before
 // its registration came, keeps it.
-func TestIdleFlowsOfAnEarlierStartAreEnded(t *testing.T) {
+func TestRestartEndsIdleFlows(t *testing.T) {
 	s := newSite(t, 1)
 	server := s.node.View().ByName("a-0")
 	s.registerStart(server, s.now)
@@ -46,7 +46,7 @@
 // A server didn't tell when it started, and now it does: it is a newer release's entry, or
 // another writer had left the field out. Taken for a new start, it would cost callers their
 // idle flows.
-func TestAServerThatBeginsToTellItsStartHasNotStartedAgain(t *testing.T) {
+func TestRestartNotFromFirstStartTime(t *testing.T) {
 	s := newSite(t, 1)
 	server := s.node.View().ByName("a-0")
 	c := s.serve(outline)
@@ -59,7 +59,7 @@
 
 // The registration of an earlier start comes after that of a later one. Flows of the
 // later start would be taken for lost.
-func TestAnEarlierStartIsNotTakenForALaterOne(t *testing.T) {
+func TestRestartIgnoresEarlierStart(t *testing.T) {
 	s := newSite(t, 1)
 	server := s.node.View().ByName("a-0")
 	s.registerStart(server, s.now)
@@ -72,7 +72,7 @@
 
 // A server was silent before it crashed, and is well since it has started again. New
 // callers would keep away from it for seconds for what its earlier start did.
-func TestANewStartIsNotAvoidedForWhatTheEarlierDid(t *testing.T) {
+func TestRestartClearsAvoidance(t *testing.T) {
 	s := newSite(t, 2)
 	for _, server := range s.node.View().Servers {
 		s.registerStart(server, s.now.Add(-time.Minute))
--- a/bronzesteer/steer_test.go
+++ b/bronzesteer/steer_test.go
@@ -13,7 +13,7 @@
 	"bronzeusher.example/bronzeusher/bronzeroute"
 )
 
-func TestNodeWithoutAViewDecidesNothing(t *testing.T) {
+func TestDecideNoView(t *testing.T) {
 	var s Steerer
 	p := Packet{Key: bronzeflow.NewKey(bronzeflow.TCP, netip.MustParseAddrPort("100.64.0.7:1024"), live)}
 	require.Equal(t, Decision{Kind: Wait, Reason: NoView}, s.Decide(&p, begin))
@@ -21,7 +21,7 @@
 
 // All nodes lose power. The flow's next packet arrives at a node that has
 // just started and knows nothing but the servers: it must reach the server.
-func TestFlowOutlivesAllNodes(t *testing.T) {
+func TestDecideAfterNodeRestart(t *testing.T) {
 	s := newSite(t, 4, 4)
 	c := s.serve(live)
 	server := c.server
@@ -33,7 +33,7 @@
 
 // The route moves to another pool. New flows go there; open ones stay where
 // they are, also at a node that starts afterwards.
-func TestOpenFlowsStayWhenTheirRouteMoves(t *testing.T) {
+func TestDecideRouteMoved(t *testing.T) {
 	s := newSite(t, 2)
 	c := s.serve(live)
 	server := c.server
@@ -46,7 +46,7 @@
 	require.Equal(t, Decision{Kind: End, Reason: NoServer}, d, "the new pool has no servers")
 }
 
-func TestFlowsOfAWithdrawnRouteEnd(t *testing.T) {
+func TestDecideRouteWithdrawn(t *testing.T) {
 	s := newSite(t, 2)
 	c := s.serve(live)
 	s.directory.SetTable(&bronzeroute.Table{Version: 2}, s.now)
@@ -58,7 +58,7 @@
 
 // A node that lags behind hears of a flow whose route it doesn't know yet. A
 // reset would end a flow that is well; the caller repeats the packet.
-func TestNodeThatLagsEndsNoFlow(t *testing.T) {
+func TestDecideStaleView(t *testing.T) {
 	s := newSite(t, 2)
 	c := s.serve(live)
 	c.packet.Key = bronzeflow.NewKey(bronzeflow.TCP, c.packet.Key.CallerAddrPort(), netip.MustParseAddrPort("198.18.0.9:443"))
@@ -69,7 +69,7 @@
 	require.Equal(t, Decision{Kind: Drop, Reason: TokenUnknown}, c.request(), "a server that it doesn't know yet")
 }
 
-func TestFlowsOfAServerThatIsGoneEnd(t *testing.T) {
+func TestDecideServerGone(t *testing.T) {
 	s := newSite(t, 2)
 	c := s.serve(live)
 	s.directory.Unregister(c.server.Instance, s.now)
@@ -85,7 +85,7 @@
 
 // The first server doesn't answer an opening and nobody else. Its copy, 200 ms
 // later, goes to another one: the caller gives up after the second copy.
-func TestCopyOfAnUnansweredOpeningGoesElsewhere(t *testing.T) {
+func TestRetransmitToOtherServer(t *testing.T) {
 	s := newSite(t, 2)
 	c, d := s.open(live)
 	first := d.Server.Instance
@@ -98,7 +98,7 @@
 
 // The opening is lost, but the server answers others meanwhile. Its copy goes
 // to the same server, so that no two accept.
-func TestCopyOfALostOpeningGoesToTheSameServer(t *testing.T) {
+func TestRetransmitToSameServer(t *testing.T) {
 	s := newSite(t, 1, 1)
 	c, d := s.open(live)
 	first := d.Server.Instance
@@ -114,7 +114,7 @@
 // was late. The caller goes on with the one whose acceptance came first, and
 // then sends back the token of the other, whose acceptance came after. Payload
 // for the first must not go to the second, which would reset the flow.
-func TestSecondAcceptanceDoesNotMoveAFlow(t *testing.T) {
+func TestSecondAcceptIgnored(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		s := newSite(t, 2)
 		c, d := s.open(live)
@@ -133,7 +133,7 @@
 	}
 }
 
-func TestPacketsThatNoCallerSends(t *testing.T) {
+func TestDecideNotACaller(t *testing.T) {
 	s := newSite(t, 2)
 	c := s.serve(live)
 	c.packet.Returned = true
@@ -146,7 +146,7 @@
 // to a server of a pool that its route has named, an opening only to one that
 // takes new flows or may come back, and only a flow whose route or server is
 // gone, or whose server is silent, is ended.
-func TestRandomPacketsKeepThePromises(t *testing.T) {
+func TestDecideInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := newSite(t, 2, 2)
 		var clients []*client
@@ -206,7 +206,7 @@
 // A flood of openings to one Customer fills what a node follows of it. Memory
 // stays bounded, and flows that no more is known of are served all the same. A
 // flow of another Customer is followed as ever.
-func TestFloodOfOpeningsIsBounded(t *testing.T) {
+func TestTrackingLimitPerCustomer(t *testing.T) {
 	s := newSite(t, 2)
 	shares := []bronzeroute.WeightedPool{{Pool: "live", Weight: 1}}
 	s.directory.SetTable(&bronzeroute.Table{Version: 2, Routes: []bronzeroute.Route{
@@ -236,7 +236,7 @@
 
 // A node has 64 MB. It follows as many flows as leave room for the rest of it: beyond, its
 // process would be ended and all its callers' packets lost; forwarded they are all the same.
-func TestFlowsAreBoundedByTheNodesMemory(t *testing.T) {
+func TestTrackingLimitByMemory(t *testing.T) {
 	const small = 1 << 20
 	require.Equal(t, maxFlows, flowLimit(0), "the memory isn't told")
 	require.Equal(t, maxFlows, flowLimit(1<<40))
@@ -260,7 +260,7 @@
 
 // Half-open flows are what a flood uses up; they are bounded by themselves, and
 // given back when their callers don't go on.
-func TestHalfOpenFlowsAreBounded(t *testing.T) {
+func TestTrackingLimitHalfOpen(t *testing.T) {
 	s := newSite(t, 2)
 	for range int(halfOpenFraction * maxFlows) {
 		s.open(live)
--- a/bronzesteer/viewstate_test.go
+++ b/bronzesteer/viewstate_test.go
@@ -17,7 +17,7 @@
 // its servers, its pools and the zones' counts are those of a node that starts with
 // the view; what was seen of a server stays as long as it is known, and a pool in
 // which nothing changed stays itself.
-func TestKnownIsAsOneMadeAnew(t *testing.T) {
+func TestViewStateIncremental(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var d bronzeroute.Directory
 		now := begin
--- a/bronzesteer/warmup_test.go
+++ b/bronzesteer/warmup_test.go
@@ -237,7 +237,7 @@
 // all others, or from the store too, new ones join and hear the names of the rest little by little, zones are
 // drained and taken back. No cold server gets more requests in any second than it is
 // allowed, of all nodes together, though no node knows what the others send.
-func TestColdServersGetNoMoreThanTheyBear(t *testing.T) {
+func TestWarmupRateLimit(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		nodes := rapid.SampledFrom([]int{3, 9, 84, 295, 490}).Draw(r, "Nodes")
 		zones := rapid.IntRange(1, 4).Draw(r, "Zones")
@@ -284,7 +284,7 @@
 
 // All servers of a service have started again, and callers ask for much more than they
 // bear. What they bear is used well, and the rest is refused at once.
-func TestWhatColdServersBearIsUsed(t *testing.T) {
+func TestWarmupUtilization(t *testing.T) {
 	for _, c := range []struct {
 		nodes     int
 		perSecond float64
@@ -315,7 +315,7 @@
 // A node that has just started, or that has heard of nobody though it was told whom to
 // join, doesn't know how many others send to a cold server. It sends nothing there: its
 // callers are refused, or go to servers that are warm.
-func TestANodeThatKnowsNoNamesSparesColdServers(t *testing.T) {
+func TestWarmupUnknownPeers(t *testing.T) {
 	f := newWarmupFleet(t, 3, 1, 2, 10, 1)
 	f.restart(2, 4)
 	n := f.join("new", 0)
@@ -339,7 +339,7 @@
 
 // The configuration tells no limit. Servers are slow after a start all the same: they get
 // flows from all nodes, half as many as others.
-func TestColdServersWithoutALimitServe(t *testing.T) {
+func TestWarmupNoLimit(t *testing.T) {
 	f := newWarmupFleet(t, 3, 1, 2, 0, 1)
 	f.restart(2, 4)
 	for range 20 {
--- a/bronzesteer/zones_test.go
+++ b/bronzesteer/zones_test.go
@@ -18,7 +18,7 @@
 
 // The operator drains the node's own zone under load. Callers open new flows, which go to
 // the other zones evenly; those that were open there stay, and go on asking.
-func TestNewFlowsKeepAwayFromADrainedZone(t *testing.T) {
+func TestDrainedZoneNoNewFlows(t *testing.T) {
 	s := newSite(t, 3, 3, 3)
 	s.node.Random = rand.New(rand.NewPCG(1, 2)).IntN
 	open := s.serveN(6, outline)
@@ -44,7 +44,7 @@
 
 // A server of the drained zone has an opening when the drain comes, and doesn't answer. The
 // caller's copy, and a second opening of ours, go to another zone and not there again.
-func TestCopiesLeaveADrainedZone(t *testing.T) {
+func TestDrainedZoneRetransmits(t *testing.T) {
 	s := newSite(t, 1, 1)
 	_, d := s.open(live)
 	require.Equal(t, "a", d.Server.AvailabilityZone)
@@ -64,7 +64,7 @@
 // All servers that could take a caller's flow are in drained zones. It is refused at once,
 // with the reason: a caller that waits for nothing has no time left to try elsewhere. A
 // copy is dropped, as the first may have been accepted.
-func TestOpeningsAreRefusedWhereAllZonesAreDrained(t *testing.T) {
+func TestDrainedZonesRefuse(t *testing.T) {
 	s := newSite(t, 2, 2)
 	early, _ := s.open(live)
 	s.drainZone("a")
@@ -86,7 +86,7 @@
 
 // Whatever else befalls the servers that remain, a drained zone is no last resort: they are
 // silent, or gone, or the registrations of all lapse.
-func TestADrainedZoneIsNoLastResort(t *testing.T) {
+func TestDrainedZoneNoLastResort(t *testing.T) {
 	s := newSite(t, 2, 2)
 	s.drainZone("b")
 	for range 8 {
@@ -112,7 +112,7 @@
 }
 
 // A route has a second pool for when its first has no server. That is drained, too.
-func TestASecondPoolInADrainedZoneTakesNothing(t *testing.T) {
+func TestDrainedZoneSecondPool(t *testing.T) {
 	s, _ := newPartitionedSite(t)
 	s.directory.SetTable(&bronzeroute.Table{Version: 3, Routes: []bronzeroute.Route{{
 		Name: "archive", Service: archive,
@@ -128,7 +128,7 @@
 
 // A pool is so large that openings look at a sample of it. All of the own zone's share of
 // the sample is drained.
-func TestADrainedZoneOfALargePoolTakesNothing(t *testing.T) {
+func TestDrainedZoneLargePool(t *testing.T) {
 	s := newSite(t, 100, 100)
 	s.node.Random = rand.New(rand.NewPCG(3, 4)).IntN
 	s.drainZone("a")
