--- a/bronzesteer/flow.go
+++ b/bronzesteer/flow.go
@@ -11,59 +11,59 @@
 
 const (
 	shardCount = 16
-	// idleFor is how long a flow without packets is followed. It only bounds
-	// memory: the flow itself lives on.
+	// flowTimeout is how long a flow without packets is tracked. It only bounds memory:
+	// packets of an untracked flow are still forwarded.
 	flowTimeout = 20 * time.Second
-	// openingFor is the same for a flow that isn't open: callers repeat an
-	// opening twice within 600 ms and give up after 1.4 s.
+	// openingTimeout is the same for a flow that isn't open. Callers retransmit an opening
+	// twice within 600 ms and give up after 1.4 s.
 	openingTimeout = 3 * time.Second
-	// repeatedBy is when a caller without an answer has repeated its request
-	// at the latest.
+	// maxRetransmitDelay is the time within which a caller without an answer has
+	// retransmitted its request.
 	maxRetransmitDelay = 300 * time.Millisecond
-	// workLeast and workMost bound how long a request counts as being worked
-	// on without a sign of its answer.
+	// minRequestTimeout and maxRequestTimeout bound how long a request counts as in flight
+	// without a sign of its answer.
 	minRequestTimeout = 60 * time.Millisecond
 	maxRequestTimeout = 250 * time.Millisecond
-	// overdueMost is the age up to which a request without an answer says something of its
-	// server. Most callers have given up by then.
+	// maxOverdueAge is the age up to which an unanswered request counts against its server.
+	// Most callers have given up by then.
 	maxOverdueAge = 3 * time.Second
 )
 
 type flowKey = bronzeflow.Key
 
-// shard is a part of the flows under a lock of its own.
+// shard is a part of the flows with its own lock.
 type shard struct {
 	mu    sync.Mutex
 	flows map[flowKey]*flow
 }
 
-// flow is what this node has seen of a flow. Times are distances from the
-// Steerer's start.
+// flow is what this node has seen of a flow. Times are relative to the Steerer's start.
 type flow struct {
 	account    *bronzepool.Account
 	backend    *backend
 	token      uint32
 	open       bool
 	idempotent bool
-	// struck tells that the flow's present silence is counted already.
+	// countedUnanswered is set once the pending request has been counted as unanswered.
 	countedUnanswered bool
-	// opening is set while the caller hasn't gone on.
+	// pending is set while the caller hasn't continued after its opening.
 	pending   *pendingOpening
 	openedAt  time.Duration
 	retriedAt time.Duration
 	seenAt    time.Duration
-	// askedAt is when the request was first seen that has no answer yet, 0 if
-	// there is none, and working whether the server counts as working on it.
+	// requestAt is when the unanswered request was first seen, 0 if there is none. inFlight
+	// says whether it counts as in flight at the server.
 	requestAt time.Duration
 	inFlight  bool
-	// overdue is at what age the request was last found overdue.
+	// overdueAge is the age at which the request was last found overdue.
 	overdueAge time.Duration
-	// sequence is the end of the data seen, acknowledged that of the answer.
+	// sequence is the end of the request data seen, acknowledged the end of the answer data
+	// acknowledged.
 	sequence     uint32
 	acknowledged uint32
 }
 
-// sentAt returns when the present server was first asked.
+// sentAt returns when the opening was first sent to the present server.
 func (f *flow) sentAt(openedAt time.Duration) time.Duration {
 	return max(openedAt, f.retriedAt)
 }
@@ -72,7 +72,7 @@
 	return &s.shards[p.Key.Hash()%shardCount]
 }
 
-// end forgets a flow.
+// remove stops tracking a flow.
 func (sh *shard) remove(key flowKey) {
 	f := sh.flows[key]
 	if f == nil {
@@ -82,14 +82,14 @@
 	delete(sh.flows, key)
 }
 
-// retry has another server asked for a flow that isn't open.
+// retry assigns a flow that isn't open to another server.
 func (f *flow) retry(next choice, token uint32, at time.Duration) {
 	f.backend.addOpenings(-1)
 	f.backend, f.token, f.retriedAt = next.backend, token, at
 	f.backend.addOpenings(1)
 }
 
-// release takes the flow out of its server's and its Customer's figures.
+// release removes the flow from the counts of its server and its Customer.
 func (f *flow) release() {
 	f.finishRequest()
 	f.dropPending()
@@ -101,7 +101,7 @@
 	}
 }
 
-// finish notes that the server no longer works on the flow's request.
+// finishRequest records that the flow's request is no longer in flight.
 func (f *flow) finishRequest() {
 	if f.inFlight {
 		f.inFlight = false
@@ -109,7 +109,7 @@
 	}
 }
 
-// note takes in what a packet of an established flow tells of its server.
+// observePacket updates the server's state by a packet of an established flow.
 func (s *Steerer) observePacket(f *flow, b *backend, token uint32, p *Packet, at time.Duration) {
 	f.seenAt = at
 	if !f.open {
@@ -132,13 +132,13 @@
 	}
 	if f.requestAt != 0 && at-f.requestAt >= minRetransmitAge && !f.countedUnanswered {
 		f.countedUnanswered = true
-		// It takes at least this long, which the answer would show only later.
+		// The answer will take at least this long, but would show it only later.
 		f.backend.observeLatency(at-f.requestAt, at)
 		s.recordUnanswered(f.backend, f.requestAt, at, dataWeight)
 	}
 }
 
-// established notes that the caller has taken a server's acceptance.
+// handleEstablished records that the caller has taken the server's acceptance.
 func (s *Steerer) handleEstablished(f *flow, b *backend, token uint32, p *Packet, at time.Duration) {
 	f.account.Established()
 	f.backend.addOpenings(-1)
@@ -148,7 +148,7 @@
 	s.recordAnswer(b, at)
 }
 
-// answered notes that the caller has more of the answer.
+// handleAnswer records that the caller has received more of the answer.
 func (s *Steerer) handleAnswer(f *flow, p *Packet, at time.Duration) {
 	f.countedUnanswered = false
 	s.recordAnswer(f.backend, at)
@@ -157,27 +157,26 @@
 	}
 	f.backend.stats.recordAck(p.Length == 0)
 	if p.Length == 0 {
-		// With new data the acknowledgement says only that the answer came
-		// some time before.
+		// An acknowledgement without data is sent at once; one that comes with new data may
+		// be late.
 		f.backend.observeLatency(at-f.requestAt, at)
 	}
 	f.requestAt = 0
 	f.finishRequest()
 }
 
-// EndedFlow is a flow that is to be ended though no packet of it came.
+// EndedFlow is a flow that Sweep has ended without a packet of it.
 type EndedFlow struct {
 	Packet   Packet
 	Instance string
 	Reason   Reason
 }
 
-// Sweep forgets flows without packets and work without answers, and brings
-// loads up to date. It is to be called about every 100 ms. It returns the flows
-// that are to be ended: those without a request at a server that is gone, has
-// started again, or answers nobody, and those whose request may be repeated at one that
-// answers nobody. Callers would find out by their next request, which would be lost if it
-// must not be repeated.
+// Sweep expires idle flows and overdue requests, and updates loads. Call it about every 100
+// ms. It returns the flows that have been ended: idle ones at a server that is gone, has
+// restarted or has failed, and those with a pending request that may be retried at a server
+// that has failed. Their callers would otherwise notice only with their next request, which
+// would be lost if it must not be retried.
 func (s *Steerer) Sweep(now time.Time) (endings []EndedFlow) {
 	s.init()
 	k := s.state.Load()
@@ -200,14 +199,14 @@
 	return endings
 }
 
-// loss is what has become of a server, and whether it is known so well that flows are ended
-// there that don't wait for an answer.
+// loss is why a server's flows are ended. If certain is set, also those are ended that
+// don't wait for an answer.
 type loss struct {
 	reason  Reason
 	certain bool
 }
 
-// silentServers returns the servers that answer nobody.
+// failedServers returns the servers found to have failed.
 func (s *Steerer) failedServers(at time.Duration) (lost map[*backend]loss) {
 	lost = make(map[*backend]loss)
 	if !s.canJudge(at) {
@@ -223,7 +222,7 @@
 	return lost
 }
 
-// addGoneServers adds the servers that are no more.
+// addGoneServers adds the servers that no longer exist.
 func (k *viewState) addGoneServers(lost map[*backend]loss) {
 	for _, m := range k.members {
 		if m.server.Status == bronzeroute.Gone {
@@ -259,10 +258,9 @@
 	return endings
 }
 
-// waitOn takes in for how long the flow's request has been without an answer, now and each
-// time that its age has doubled: so long the server takes at least. Otherwise one that
-// accepts openings and hangs with a part of its requests is forgotten with each of them,
-// looks idle, and draws more.
+// checkOverdue records the age of an unanswered request as a lower bound of the server's
+// latency, each time that the age has doubled. Otherwise a server that accepts openings but
+// hangs on some requests would look idle, and attract more flows.
 func (f *flow) checkOverdue(at time.Duration) {
 	if f.requestAt == 0 || f.countedUnanswered {
 		return
@@ -279,9 +277,9 @@
 	}
 }
 
-// mayEnd reports whether the flow may be ended for what has become of its server. One with
-// a request at a silent server may if that may be repeated: its caller would ask again
-// only 400 or 800 ms after the last time, and have no time left to be served elsewhere.
+// mayReset reports whether the flow may be ended for the loss of its server. At a failed
+// server, that includes a flow with a pending request that may be retried: its caller would
+// retransmit it only 400 or 800 ms after the last time, too late to be served elsewhere.
 func (f *flow) mayReset(l loss, at time.Duration) bool {
 	if l.reason == ServerSilent && f.idempotent && f.countedUnanswered {
 		return true
@@ -292,9 +290,9 @@
 	return l.certain && f.idle(at)
 }
 
-// idle reports whether the flow has no request that waits for its answer. The
-// acknowledgement of a short answer comes only with the next request, but a
-// caller without an answer repeats its request after 200 ms.
+// idle reports whether the flow has no pending request. A short answer may be acknowledged
+// only with the next request, but a caller without an answer retransmits its request after
+// 200 ms.
 func (f *flow) idle(at time.Duration) bool {
 	return !f.countedUnanswered && (f.requestAt == 0 || at-f.seenAt > maxRetransmitDelay)
 }
--- a/bronzesteer/steer.go
+++ b/bronzesteer/steer.go
@@ -13,24 +13,25 @@
 	"bronzeusher.example/bronzeusher/bronzeroute"
 )
 
-// Steerer decides for the callers' packets of one node. Its exported fields
-// must not change after the first use. The zero Steerer waits for a view. All
-// methods may be called concurrently.
+// Steerer decides what to do with the callers' packets of one node. Its exported fields
+// must not change after the first use. The zero Steerer waits for a view. All methods may
+// be called concurrently.
 type Steerer struct {
-	// AvailabilityZone and Region are where this node is; Regions names the
-	// region of each zone.
+	// AvailabilityZone and Region are the node's location. Regions maps each zone to its
+	// region.
 	AvailabilityZone string
 	Region           string
 	Regions          map[string]string
-	// Name is this node's, and Node stands for it in reports, which other nodes pass on.
+	// Name is the node's name. Node identifies the node in reports, which other nodes pass
+	// on.
 	Name string
 	Node uint32
-	// Memory is how many bytes the node may use in all, 0 if that isn't known.
+	// Memory is the number of bytes that the node may use in total, 0 if unknown.
 	Memory int64
-	// OnEvent is called with what changes this node's belief of a server. It
-	// must not call the Steerer.
+	// OnEvent is called when the node's assessment of a server changes. It must not call
+	// the Steerer.
 	OnEvent func(Event)
-	// Random returns a number in [0, n); rand.IntN if nil.
+	// Random returns a number in [0, n). If nil, rand.IntN is used.
 	Random func(n int) int
 
 	state atomic.Pointer[viewState]
@@ -42,10 +43,10 @@
 	admission bronzepool.Admission
 	hedges    hedgeQueue
 	health    localHealth
-	// unsure says that the node stood still and its records weren't confirmed since.
+	// recordsUnconfirmed is set after a pause until the records are confirmed.
 	recordsUnconfirmed atomic.Bool
 
-	// goodAt is when any server was last seen to answer, since start.
+	// lastAnswer is when any server was last seen to answer, relative to start.
 	lastAnswer atomic.Int64
 
 	mu        sync.Mutex
@@ -53,41 +54,43 @@
 	peerLoads map[string]peerLoads
 	poolStats map[string]*poolStats
 	suspects  suspects
-	// blamed are the servers that each other node has found silent of late.
+	// reportedBy holds the servers that each peer has recently reported.
 	reportedBy map[uint32]reportedServers
 	probes     probeTargets
 	accounts   map[netip.AddrPort]*account
-	// exemptLimits counts the openings that aren't turned away where others are.
+	// exemptLimits limits the openings of each endpoint that are exempt from refusal by
+	// load.
 	exemptLimits map[netip.AddrPort]*rate.Limiter
-	// own is the node's zone; it is set once.
+	// ownZone is the entry of the node's zone. It is set once.
 	ownZone *zone
 
-	// news says that there is something for Reports to tell that was not taken yet.
+	// newReports is set if Reports has something that wasn't signaled yet.
 	newReports atomic.Bool
 
-	// others is how many nodes there are beside this one.
+	// peers is the number of other nodes.
 	peers     atomic.Int64
 	zonePeers zonePeers
-	// told is what other nodes are told of this one's loads.
+	// ownLoads is what Loads returns.
 	ownLoads atomic.Pointer[[]Load]
-	// loadsAt is when loads were last brought up to date; Sweep alone uses it.
+	// loadsUpdatedAt is when loads were last updated. Only Sweep uses it.
 	loadsUpdatedAt time.Duration
 }
 
-// Event is a change of what this node believes of a server.
+// Event is a change in the node's assessment of a server.
 type Event struct {
 	// Kind is Avoided or Cleared.
 	Kind EventKind
-	// Instance and AvailabilityZone name the server.
+	// Instance and AvailabilityZone identify the server.
 	Instance         string
 	AvailabilityZone string
-	// Unanswered is how many flows it left unanswered in a row, and Silence
-	// how long ago it was last seen to answer.
+	// Unanswered is the number of flows left unanswered in a row, Silence the time since
+	// the server was last seen to answer.
 	Unanswered int
 	Silence    time.Duration
-	// AvoidedFor is how long it is avoided.
+	// AvoidedFor is how long the server is avoided.
 	AvoidedFor time.Duration
-	// Nodes is how many other nodes have said so, 0 if this one found it itself.
+	// Nodes is the number of other nodes with findings of the server, 0 if this node found
+	// it itself.
 	Nodes int
 }
 
@@ -95,9 +98,9 @@
 type EventKind uint8
 
 const (
-	// Avoided says that new flows keep away from the server for a while.
+	// Avoided: new flows avoid the server for some time.
 	Avoided EventKind = iota + 1
-	// Cleared says that a server that was avoided has answered.
+	// Cleared: a server that was avoided has answered.
 	Cleared
 )
 
@@ -117,7 +120,7 @@
 	s.state.Store(k)
 }
 
-// View returns the view in force, nil if there is none.
+// View returns the view in force, or nil.
 func (s *Steerer) View() *bronzeroute.View {
 	if k := s.state.Load(); k != nil {
 		return k.view
@@ -144,7 +147,7 @@
 	})
 }
 
-// since returns a time as the distance from this Steerer's start.
+// sinceStart returns a time relative to the Steerer's start.
 func (s *Steerer) sinceStart(now time.Time) time.Duration {
 	return now.Sub(s.start)
 }
@@ -172,7 +175,7 @@
 	}
 }
 
-// open places an opening, or a copy of one.
+// placeOpening places an opening or handles its retransmission.
 func (s *Steerer) placeOpening(k *viewState, p *Packet, now time.Time) Decision {
 	v := k.view
 	service := p.Key.ServiceAddrPort()
@@ -213,9 +216,9 @@
 	return d
 }
 
-// repeat handles a further opening of a flow that this node has placed. The
-// first server is asked again if it has answered anybody since, because then
-// a packet got lost; otherwise another one is.
+// handleRetransmit handles another opening of a flow that this node has placed. If the
+// first server has answered any flow since, the opening was probably lost and is sent to
+// the same server; otherwise it is sent to another one.
 func (s *Steerer) handleRetransmit(k *viewState, route *bronzeroute.Route, f *flow, p *Packet, at time.Duration, now time.Time) Decision {
 	v := k.view
 	f.seenAt = at
@@ -244,8 +247,9 @@
 	return Decision{Kind: Forward, Reason: Retried, Server: next.server, Token: f.token, Tried: server}
 }
 
-// again sends a copy of an opening to the server that has the first, unless that may take
-// none: the first may have reached it, so that the copy is dropped and not refused.
+// resend sends a retransmitted opening to the server that was sent the first, unless that
+// server may take no openings. It is then dropped and not refused, because the first may
+// have arrived.
 func (s *Steerer) resend(server *bronzeroute.Server, f *flow, at time.Duration, now time.Time) Decision {
 	switch {
 	case server.ZoneDrained:
@@ -257,11 +261,11 @@
 	}
 }
 
-// cameTogether reports whether the copy of an opening says nothing of the server that was
-// asked, as it came too soon after it. If it is the caller's own, this node is late. Of a
-// node that stood still or had too much to do, the packets that waited are openings whose
-// callers have long gone elsewhere: none of the servers that these are sent to is ever
-// gone on with, and all would be taken for silent.
+// arrivedTogether reports whether a retransmitted opening says nothing about the server,
+// since it came too soon after the first. If it is the caller's own retransmission, this
+// node is delayed: after a pause or an overload, the queued openings are those of callers
+// that have long given up. No caller would continue at the servers that these are sent to,
+// and all of the servers would seem silent.
 func (s *Steerer) arrivedTogether(f *flow, p *Packet, at time.Duration) bool {
 	if at-f.openedAt >= minRetransmitGap {
 		return false
@@ -273,8 +277,8 @@
 	return true
 }
 
-// byRecords returns the decision to refuse a packet for what records say, or to drop it
-// while they are in doubt.
+// ifConfirmed returns a decision to refuse a packet because of the records, or drops the
+// packet while the records are unconfirmed.
 func (s *Steerer) ifConfirmed(d Decision) Decision {
 	if s.recordsUnconfirmed.Load() {
 		return Decision{Reason: Unsure}
@@ -282,7 +286,7 @@
 	return d
 }
 
-// steer sends a packet of an established flow where its token says.
+// forwardByToken forwards a packet of an established flow to the server of its token.
 func (s *Steerer) forwardByToken(k *viewState, p *Packet, now time.Time) Decision {
 	v := k.view
 	service := p.Key.ServiceAddrPort()
@@ -300,9 +304,9 @@
 	f := sh.flows[p.Key]
 	token := p.Token
 	if f != nil && f.open {
-		// Two servers may have accepted copies of the opening. The caller
-		// goes on with the one whose acceptance came first; that of the other
-		// may still change what the caller sends back.
+		// Two servers may have accepted transmissions of the opening. The caller continues
+		// with the one whose acceptance came first, but the acceptance of the other may
+		// still change the token that the caller sends back.
 		token = f.token
 		s.recordLateAccept(k, f, p, at)
 	}
@@ -343,8 +347,8 @@
 	return Decision{Kind: Forward, Reason: Steered, Server: server, Token: token, HandshakeTime: opened, Hedge: hedge}
 }
 
-// acceptedToo takes in that a further server has accepted a flow's opening, which shows
-// in the token that the caller sends back: it was late, not silent.
+// recordLateAccept records that a further server has accepted a flow's opening, as the
+// token sent back by the caller shows: that server was late, not silent.
 func (s *Steerer) recordLateAccept(k *viewState, f *flow, p *Packet, at time.Duration) {
 	if p.Token == f.token || p.Token == 0 {
 		return
@@ -358,7 +362,7 @@
 	}
 }
 
-// adopt makes an entry for a flow that another node has opened.
+// adopt starts tracking a flow that another node has opened.
 func adopt(sh *shard, route *bronzeroute.Route, account *bronzepool.Account, p *Packet, b *backend, token uint32, at time.Duration) *flow {
 	f := &flow{
 		account: account, token: token, backend: b, open: true,
