--- a/bronzesteer/doc.go
+++ b/bronzesteer/doc.go
@@ -1,21 +1,20 @@
-// Package bronzesteer decides what happens to callers' packets where each
-// packet carries the token of its server (package bronzetoken). It opens no
-// socket and starts no goroutine; package bronzecore is its counterpart for
-// packets that carry nothing.
+// Package bronzesteer decides what to do with callers' packets if each packet carries the
+// token of its server (package bronzetoken). Package bronzecore is its counterpart for
+// packets without tokens. The package opens no socket and starts no goroutine.
 //
-// An opening is placed on a server, whose token goes into it; every later
-// packet of the flow brings the token back, at whichever node it arrives. So
-// no node owns a flow, nothing is copied, and what a node remembers of a flow
-// only serves to judge the servers: answers go past the balancers, and all
-// that they see of a server is how its callers go on. A caller that goes on
-// has been answered; one that repeats itself has not.
+// An opening, the first packet of a flow, is placed on a server and forwarded with that
+// server's token. Every later packet of the flow carries the token, at whichever node it
+// arrives. Thus no node owns a flow and no flow state is replicated. What a node tracks of
+// flows only serves to detect failed servers: answers bypass the nodes, which see a server
+// only by the behavior of its callers. A caller that continues has been answered; one that
+// retransmits has not.
 //
-// An opening whose caller doesn't go on in the usual time is sent to a second server
-// (Hedges). What this node finds of servers that don't answer is told to the others and
-// theirs is taken in (Reports, SetReports), as are loads and latencies (Loads, SetLoads).
+// An opening that isn't answered within the usual time is hedged: it is sent to a second
+// server (Hedges). Nodes exchange their findings of servers that don't answer (Reports,
+// MergeReports), and loads and latencies (Loads, SetLoads).
 //
-// When servers have too much to do, or none answers, openings are ended at once:
-// callers learn that nothing ran, and those that are let in are served in time.
+// If servers are overloaded, or none answers, openings are refused at once: callers learn
+// that nothing was run, and the openings admitted are served in time.
 //
 // # Usage
 //
@@ -30,6 +29,6 @@
 //		// Ask again when there is a view.
 //	}
 //
-// Call Sweep every 100 ms and end the flows that it returns, call Hedges at the time that
-// NextHedge returns, and tell other nodes of Reports when News says that there are some.
+// Call Sweep every 100 ms and reset the flows that it returns, call Hedges at the time that
+// NextHedge returns, and send Reports to other nodes when HasNewReports returns true.
 package bronzesteer
--- a/bronzesteer/packet.go
+++ b/bronzesteer/packet.go
@@ -8,42 +8,42 @@
 	"bronzeusher.example/bronzeusher/bronzeroute"
 )
 
-// Packet is what the decisions read of a caller's packet.
+// Packet is the part of a caller's packet that decisions depend on.
 type Packet struct {
 	Key bronzeflow.Key
-	// Open marks an opening. Retransmits counts its repetitions, 0 for the first.
+	// Open marks an opening. Retransmits counts how often it has been sent before.
 	Open        bool
 	Retransmits int
 	// Accept marks the acceptance of an opening, which callers never send.
 	Accept bool
-	// Final marks the caller's last byte, Abort its giving the flow up.
+	// Final marks the caller's last byte, Abort that the caller gives the flow up.
 	Final bool
 	Abort bool
-	// Returned marks a packet that some node has sent back.
+	// Returned marks a packet that a node has sent back.
 	Returned bool
-	// Token is the one that the flow's server last sent, 0 if none.
+	// Token is the token that the flow's server last sent, 0 if none.
 	Token uint32
-	// Sequence numbers the first of Length payload bytes; Acknowledged is up
-	// to where the caller has the answer.
+	// Sequence is the number of the first of Length payload bytes, Acknowledged the number
+	// up to which the caller has the answer.
 	Sequence     uint32
 	Acknowledged uint32
 	Length       int
-	// Bytes is an opening as it came, to be sent again; nil if it isn't to be. It is
-	// copied where it is kept.
+	// Bytes is the opening as received, for sending it again, or nil if it must not be. It
+	// is copied if kept.
 	Bytes []byte
 }
 
-// Kind is what is to be done with a packet.
+// Kind is what to do with a packet.
 type Kind uint8
 
 const (
 	// Drop discards the packet.
 	Drop Kind = iota
-	// Forward sends it to a server with a token.
+	// Forward sends the packet to a server with a token.
 	Forward
-	// End answers it with a reset.
+	// End answers the packet with a reset.
 	End
-	// Wait keeps it until there is a view.
+	// Wait keeps the packet until there is a view.
 	Wait
 )
 
@@ -57,22 +57,22 @@
 	return "Unknown"
 }
 
-// Reason tells why.
+// Reason is the reason of a Decision.
 type Reason uint8
 
-// The reasons of decisions. Openings are Placed, Repeated, Retried or Hedged, or not
-// forwarded for the reasons that follow; other packets are Steered or not.
+// Openings are Placed, Repeated, Retried or Hedged if they are forwarded, other packets
+// Steered. The remaining reasons are those for which packets are not forwarded.
 const (
-	// Placed: an opening went to a server that was chosen for it.
+	// Placed: an opening was placed on a server.
 	Placed Reason = iota
-	// Repeated: a copy of an opening went to the same server.
+	// Repeated: a retransmitted opening was sent to the same server.
 	Repeated
-	// Retried: a copy of an opening went to another server.
+	// Retried: a retransmitted opening was sent to another server.
 	Retried
-	// Hedged: an opening without an answer went to a further server before its caller
-	// repeated it.
+	// Hedged: an unanswered opening was sent to a further server before its caller
+	// retransmitted it.
 	Hedged
-	// Steered: the packet went where its token says.
+	// Steered: the packet was sent to the server of its token.
 	Steered
 	// NoRoute: no route in force has the destination.
 	NoRoute
@@ -80,23 +80,21 @@
 	RouteWithdrawn
 	// NoServer: no server of the route may take the flow.
 	NoServer
-	// ZoneDrained: the servers of the route that could take the flow are in
-	// AvailabilityZones that are drained.
+	// ZoneDrained: the servers of the route that could take the flow are in drained
+	// AvailabilityZones.
 	ZoneDrained
-	// ServersCold: the servers of the route that could take the flow have just started,
-	// and have as much to do as they bear.
+	// ServersCold: the servers of the route that could take the flow have just started, and
+	// their warm-up limit is used up.
 	ServersCold
-	// NoneAnswers: the servers of the route leave all callers without an answer.
+	// NoneAnswers: none of the route's servers answers any caller.
 	NoneAnswers
-	// Overloaded: the route's servers have too much to do to serve another flow
-	// in time.
+	// Overloaded: the route's servers are too busy to serve another flow in time.
 	Overloaded
-	// ServerGone: the flow's server is no more.
+	// ServerGone: the flow's server no longer exists.
 	ServerGone
-	// ServerSilent: the flow's server answers nobody, and the flow's requests
-	// may be repeated.
+	// ServerSilent: the flow's server has failed or is unreachable, and answers nobody.
 	ServerSilent
-	// ServerReborn: the flow's server has started again since, without the flow.
+	// ServerReborn: the flow's server has restarted since, and doesn't have the flow.
 	ServerReborn
 	// NoToken: the packet of an established flow has no token.
 	NoToken
@@ -104,11 +102,11 @@
 	TokenUnknown
 	// NotACaller: the packet comes from a server, or was sent back.
 	NotACaller
-	// NoView: nothing is known yet.
+	// NoView: there is no view yet.
 	NoView
 	// Unsure: the records would have the packet refused, but may be out of date.
 	Unsure
-	// ReasonCount is how many reasons there are.
+	// ReasonCount is the number of reasons.
 	ReasonCount
 )
 
@@ -126,7 +124,7 @@
 	return "Unknown"
 }
 
-// Reasons returns all reasons, for a counter each.
+// Reasons returns all reasons, such as for a counter each.
 func Reasons() (all []Reason) {
 	for r := range ReasonCount {
 		all = append(all, r)
@@ -134,40 +132,40 @@
 	return all
 }
 
-// Decision is what is to be done with a packet, and why.
+// Decision is what to do with a packet, and why.
 type Decision struct {
 	Kind   Kind
 	Reason Reason
 	// Server and Token are set if Kind is Forward.
 	Server *bronzeroute.Server
 	Token  uint32
-	// Tried is the flow's server where that is why the flow goes elsewhere or
-	// ends: where Reason is Retried, Hedged, ServerGone or ServerSilent. Where it is
-	// NoneAnswers or Overloaded, it is the server that would have been asked, and where it
-	// is ZoneDrained or ServersCold the one that has an earlier copy.
+	// Tried is the flow's previous server if Reason is Retried, Hedged, ServerGone or
+	// ServerSilent. If Reason is NoneAnswers or Overloaded, it is the server that would
+	// have been chosen, and if it is ZoneDrained or ServersCold, the one that was sent the
+	// opening before.
 	Tried *bronzeroute.Server
-	// ExpectedDelay is how long the requests at work in the pool will take, set where an
-	// opening is turned away.
+	// ExpectedDelay is the time that the requests in flight in the pool will take, set if
+	// an opening is refused as NoneAnswers or Overloaded.
 	ExpectedDelay time.Duration
-	// TrackingDenial is why the flow isn't followed though it is forwarded, Admitted
-	// if it is or if nothing is forwarded.
+	// TrackingDenial is why a forwarded flow isn't tracked. It is Admitted if the flow is
+	// tracked or nothing is forwarded.
 	TrackingDenial bronzepool.Denial
-	// HandshakeTime is how long the flow's opening took, set with the first packet
-	// of an open flow that this node has opened.
+	// HandshakeTime is how long the flow's opening took. It is set with the first packet of
+	// an open flow that this node has opened.
 	HandshakeTime time.Duration
-	// Hedge tells with the same packet how it went if further servers were asked.
+	// Hedge is set with the same packet to the outcome if further servers were tried.
 	Hedge HedgeOutcome
 }
 
-// HedgeOutcome is who answered an opening that went to several servers.
+// HedgeOutcome is the outcome of an opening that was sent to several servers.
 type HedgeOutcome uint8
 
 const (
-	// NotHedged says that one server was asked.
+	// NotHedged: only one server was tried.
 	NotHedged HedgeOutcome = iota
-	// HedgeWon says that the caller goes on with a further server.
+	// HedgeWon: the caller continues with a further server.
 	HedgeWon
-	// HedgeLost says that the caller goes on with the first, which took longer than
+	// HedgeLost: the caller continues with the first server, which took longer than
 	// expected.
 	HedgeLost
 )
