--- a/bronzesteer/failure.go
+++ b/bronzesteer/failure.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// silent reports whether the server answers nobody, so that flows there which
-// can be repeated elsewhere are better ended: it left several flows unanswered,
-// or one, and the way to its zone seems cut. Of a zone that this node sends
-// little to, two servers that crash look like a cut; without a sign of its own
-// a server that is well would lose its flows. A node that hears nobody says no:
-// it would end the flows that other nodes could still take on. It is asked for a flow
-// that waits for an answer itself, or for one that doesn't.
+// unresponsive reports whether the server answers nobody, so that flows which can be
+// retried elsewhere are better ended. Either it has failed, or it has recently left
+// something unanswered and its zone seems unreachable. The latter requires something
+// unanswered by the server itself: to a node that sends little to a zone, two crashed
+// servers look like a partition, and healthy servers there would lose their flows. A node
+// that isn't answered by any server reports false, since other nodes may still serve the
+// flows. The parameter waiting is set for a flow that itself waits for an answer.
 func (s *Steerer) unresponsive(b *backend, waits bool, at time.Duration) bool {
 	return s.canJudge(at) && (s.failed(b, waits, at) || b.recentlyUnanswered(at) && s.zoneUnreachable(b, at))
 }
 
-// answersNobody reports whether a new flow at the server would wait in vain.
+// unavailable reports whether a new flow at the server would get no answer.
 func (s *Steerer) unavailable(b *backend, at time.Duration) bool {
 	return s.canJudge(at) && (s.presumedFailed(b, at) || b.recentlyUnanswered(at) && s.zoneUnreachable(b, at))
 }
 
-// judges reports whether this node is in a state to judge servers.
+// canJudge reports whether this node is in a state to detect failures.
 func (s *Steerer) canJudge(at time.Duration) bool {
 	return at >= max(settleTime, s.health.validFrom()) && at-time.Duration(s.lastAnswer.Load()) <= maxAnswerAge && !s.isDelayed(at)
 }
 
-// dead reports whether the server has left several flows unanswered, and answered
-// nobody meanwhile, neither here nor, as far as other nodes tell, elsewhere, so that its
-// flows may be ended. Others' word alone doesn't end a flow: this node must have asked the
-// server itself, in vain. A node goes by itself alone only after longer.
+// failed reports whether flows at the server may be ended: it has left several flows
+// unanswered, and answered nobody meanwhile, neither this node nor, as far as reported, a
+// peer. Reports alone don't end a flow; this node must have something unanswered itself.
+// Without confirmation by peers, a longer silence is required.
 func (s *Steerer) failed(b *backend, waits bool, at time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -45,19 +45,19 @@
 	return u.total >= minFailedFlows && at-u.first >= s.requiredSilence(&u)
 }
 
-// othersFind reports whether what all nodes together have found says that the server is
-// dead, as far as news takes to contradict that. What others found counts if one of them
-// is in the server's zone: otherwise the way there may be cut, and the server well. For a
-// flow that waits for an answer itself less time is needed. The caller holds the server's
-// lock.
+// failedByFleet reports whether the combined findings of all nodes show that the server has
+// failed, and have stood long enough for contradicting answers to arrive. At least one
+// finding must come from the server's zone: otherwise the server may be healthy behind a
+// partition. A flow that itself waits for an answer needs less time. The caller holds the
+// server's lock.
 func (s *Steerer) failedByFleet(b *backend, waits bool, at time.Duration) bool {
 	u := b.suspicion(at, b.zoneName == s.AvailabilityZone, s.health.validFrom())
 	return u.reporters >= minReporters && u.sameZone && u.openings > 0 && u.total >= s.minFleetEvidence() &&
 		at-u.first >= minSilence && at-b.suspectedAt >= s.propagationTime(waits)
 }
 
-// believedDead reports whether no new flow has a chance at the server: it is dead, or
-// others find it so.
+// presumedFailed reports whether new flows have no chance at the server: it has failed, or
+// the fleet finds so.
 func (s *Steerer) presumedFailed(b *backend, at time.Duration) bool {
 	if s.failed(b, false, at) {
 		return true
@@ -67,11 +67,12 @@
 	return s.failedByFleet(b, false, at)
 }
 
-// manyNodes reports whether news takes more than some milliseconds to all nodes.
+// isLargeFleet reports whether messages take more than a few milliseconds to reach all
+// nodes.
 func (s *Steerer) isLargeFleet() bool { return s.peers.Load() > smallFleetPeers }
 
-// proof returns how many flows a server must have left unanswered at all nodes together
-// to be dead. Where there are few nodes, each sees as much of it as they do.
+// minFleetEvidence returns how many flows a server must have left unanswered at all nodes
+// together to count as failed. In a small fleet each node sees about as much as its peers.
 func (s *Steerer) minFleetEvidence() int {
 	if s.isLargeFleet() {
 		return minFleetFlows
@@ -79,9 +80,9 @@
 	return minFailedFlows
 }
 
-// newsTakes returns how long it takes until nearly all nodes have heard of a finding, and
-// this one of an answer that contradicts it. For a flow that waits for its answer itself,
-// half of that is enough.
+// propagationTime returns how long it takes for nearly all nodes to learn of a finding, and
+// for a contradicting answer to come back. A flow that itself waits for an answer needs
+// only half of it.
 func (s *Steerer) propagationTime(waits bool) time.Duration {
 	if !s.isLargeFleet() {
 		return 0
@@ -94,8 +95,8 @@
 	return 2 * there
 }
 
-// longEnough returns how long a server must have been silent for a node to go by what it
-// has found itself alone. One of many nodes sees too little of each server for that.
+// requiredSilence returns how long a server must have been silent for this node to rely on
+// its own findings alone. A node of a large fleet sees too little of each server for that.
 func (s *Steerer) requiredSilence(u *suspicion) time.Duration {
 	switch {
 	case s.isLargeFleet() && u.total < minFlowsAlone:
@@ -109,8 +110,8 @@
 	}
 }
 
-// isLate reports whether so many servers of the own zone are silent that it
-// must be this node.
+// isDelayed reports whether so many servers of the node's own zone are silent that the node
+// itself must be the cause.
 func (s *Steerer) isDelayed(at time.Duration) bool {
 	z := s.ownZone
 	z.mu.Lock()
@@ -118,8 +119,8 @@
 	return float64(countRecent(z.silentNow, at)) > max(minSilentLimit, maxSilentFraction*float64(z.servers))
 }
 
-// zoneCut reports whether the way to the server's zone is cut. It never is to
-// the node's own.
+// zoneUnreachable reports whether the server's zone is unreachable. The node's own zone
+// never is.
 func (s *Steerer) zoneUnreachable(b *backend, at time.Duration) bool {
 	return b.zoneName != s.AvailabilityZone && b.zone.unreachable(at)
 }
--- a/bronzesteer/timing.go
+++ b/bronzesteer/timing.go
@@ -2,100 +2,107 @@
 
 import "time"
 
-// How long a silence says something, in the order of what follows from it. A caller repeats
-// an opening after 200 and 600 ms and gives it up after 1.4 s; it repeats a request after
-// 200, 600 and 1,400 ms, up to its deadline.
+// Durations used in failure detection, roughly in the order of their consequences. A caller
+// retransmits an opening after 200 and 600 ms and gives up after 1.4 s. It retransmits a
+// request after 200, 600 and 1,400 ms, up to its deadline.
 const (
-	// copiesApart is the least time between an opening and its caller's first copy, which
-	// is sent 200 ms later. Those that come closer together have waited, here or on the way.
+	// minRetransmitGap is the least time between an opening and its first retransmission,
+	// which is sent 200 ms later. If they arrive closer together, they were queued here or
+	// on the way.
 	minRetransmitGap = 100 * time.Millisecond
-	// repeatAfter is the least age of data at which its repetition counts as unanswered;
-	// copies that a network made come at once.
+	// minRetransmitAge is the least age of data at which a retransmission counts as
+	// unanswered. Duplicates made by the network arrive at once.
 	minRetransmitAge = 150 * time.Millisecond
-	// avoidFirst is for how long new flows avoid a server at first, and avoidMost after it
-	// left the flows that tried it again unanswered, too: each trial costs a caller 20 ms.
+	// minAvoidTime is how long a server is avoided at first, maxAvoidTime the limit if
+	// flows that try it again are also left unanswered: each such try costs a caller 20 ms.
 	minAvoidTime = 1500 * time.Millisecond
 	maxAvoidTime = 6 * time.Second
-	// tellAfter is how old a finding is before other nodes are told, where there are many.
-	// Of openings that are overdue because a link is full for a moment, the answer comes
-	// sooner; all nodes would tell each other of each, and again that it was wrong.
+	// reportDelay is the least age of a finding that is reported in a large fleet. Openings
+	// that are overdue because a link is full for a moment are answered sooner; otherwise
+	// all nodes would report each of them, and then the opposite.
 	reportDelay = 100 * time.Millisecond
-	// askedFor is for how long a server must have left this node itself without an answer
-	// for others' findings to end flows there; the reason is that of tellAfter.
+	// minOwnSilence is how long a server must have left this node without an answer for
+	// peers' findings to end flows there. The reason is that of reportDelay.
 	minOwnSilence = reportDelay
-	// silentFor is for how long nobody may have been answered by a server before its flows
-	// are ended: one with a full queue goes on answering others every few milliseconds.
+	// minSilence is how long a server must have answered nobody before its flows are ended.
+	// A server with a full queue still answers some flow every few milliseconds.
 	minSilence = 350 * time.Millisecond
-	// busyFor is the same where what it left unanswered is mostly requests. A server takes
-	// openings at once whatever it has to do, but the last of a full queue waits for all
-	// before it, twice as long at a server that has just started.
+	// minSilenceBusy applies instead if mostly requests were left unanswered, and fewer
+	// than minFailedOpenings openings. A server accepts openings at once whatever its load,
+	// but the last request of a full queue waits for all those before it, twice as long at
+	// a cold server.
 	minSilenceBusy = 500 * time.Millisecond
-	// aloneFor is the same where there are other nodes, none has said so, too, and it is
-	// less than aloneProof that speaks for it: what a node sends through its own link
-	// reaches nobody while that is full.
+	// minSilenceAlone applies instead if there are peers, none has confirmed the finding,
+	// and fewer than minFlowsAlone flows support it: while the node's own link is full, its
+	// packets reach no server. In a large fleet it applies from minFlowsAlone flows on, and
+	// suspicionTimeout below.
 	minSilenceAlone = 1200 * time.Millisecond
-	// newsStep is how long a step takes by which news gets from nodes to newsFanout others
-	// each where there are many, and newsLeast the least time for all steps. Before that,
-	// and as long again for what contradicts it, the findings of others end no flow: acted
-	// upon at once, those of two nodes in the crowd of callers that moved between zones
-	// cost others flows that were open at a server that answered.
+	// gossipStep is the time of one step in which each node of a large fleet informs
+	// gossipFanout others, minPropagation the least time for all steps. Until then, and as
+	// long again for contradicting answers, peers' findings end no flow: if they take
+	// effect at once, the findings of two nodes, made while a crowd of callers moves
+	// between zones, can end open flows at a healthy server.
 	gossipStep     = 100 * time.Millisecond
 	minPropagation = 400 * time.Millisecond
-	// refuteEvery is how often others are told at most that a server has answered of which
-	// they still tell the contrary. It is well under the time in which that has to reach
-	// all, before they end flows.
+	// refuteInterval is the least interval at which peers are told that a server which they
+	// report has answered. It is well below the time in which that must reach all nodes
+	// before they end flows.
 	refuteInterval = 200 * time.Millisecond
-	// suspicionFor is how long a finding counts. While a server stays silent some node
-	// tries it about every 2 s and renews it; without an end, flows would be ended long
-	// after a cut has healed that kept nodes from a server.
+	// suspicionTimeout is how long a finding counts. While a server stays silent, some node
+	// tries it about every 2 s and renews the finding. Without the limit, flows would be
+	// ended long after a partition has healed.
 	suspicionTimeout = 3500 * time.Millisecond
-	// silenceCounts is for how long what was left unanswered counts for a cut between
-	// zones. Without an end, a node that nobody asked for anything of a zone since a cut
-	// would end the flows there that come to it from a node that stops.
+	// silenceMaxAge is how long unanswered flows count as evidence of a partition between
+	// zones. Without the limit, a node that had no traffic to a zone since a partition
+	// would end flows there that it takes over from a node that stops.
 	silenceMaxAge = 2 * time.Second
-	// hearingFor is how long ago any server must have answered this node at most for it to
-	// judge others: a node that hears nobody is itself cut off.
+	// maxAnswerAge is how recently any server must have answered this node for it to detect
+	// failures: a node that gets no answers is itself cut off.
 	maxAnswerAge = 400 * time.Millisecond
-	// settling is how long a node that has started, or stood still, doesn't judge servers:
-	// it begins with the packets that waited and with all records to read.
+	// settleTime is how long a node detects no failures after its start or a pause: it
+	// begins with the packets that were queued and with all records to read.
 	settleTime = 2 * time.Second
 )
 
-// How much must speak against a server.
+// Evidence required to avoid or fail a server.
 const (
-	// openingWeight and dataWeight are what an unanswered opening and unanswered data count
-	// for; a server is avoided from avoidAt on. A server accepts openings at once, whatever
-	// its load, so one is enough. Data that is repeated may only wait for a slow answer.
+	// openingWeight and dataWeight are the weights of an unanswered opening and of
+	// unanswered data. A server is avoided from avoidWeight on. A server accepts openings
+	// at once whatever its load, so that one suffices; retransmitted data may only wait for
+	// a slow answer.
 	openingWeight = 2
 	dataWeight    = 1
 	avoidWeight   = 2
-	// silentFlows is how many flows a server must have left unanswered before its flows are
-	// ended. Three lost packets in a row have a chance of one in 60,000 where a fortieth is
-	// lost.
+	// minFailedFlows is the number of flows that a server must have left unanswered before
+	// its flows are ended. At a loss of one packet in forty, three losses in a row have a
+	// probability of 1/60,000.
 	minFailedFlows = 3
-	// deadOpenings is how many openings must be among what a node has found if it goes by
-	// itself alone. A server takes openings at once whatever it has to do.
+	// minFailedOpenings is the number of unanswered openings from which a node that relies
+	// on its own findings alone waits for minSilence rather than minSilenceBusy.
 	minFailedOpenings = 2
-	// aloneProof is how much this node must have found alone to go by that at once.
+	// minFlowsAlone is the number of unanswered flows from which a node that relies on its
+	// own findings alone requires a shorter silence.
 	minFlowsAlone = 8
-	// deadNodes is how many nodes must have found a server silent to be enough to end its
-	// flows, and deadProof how many openings and requests it must have left unanswered in
-	// all where there are many nodes, silentFlows where there are few. An opening is given
-	// up after a few milliseconds, in which a link may be full: with three that nodes with
-	// full links gave up, callers lost flows that were open at a server that was well, also
-	// where an opening of this node's own was among them that was given askedFor.
+	// minReporters is the number of nodes that must have found a server silent for its
+	// flows to be ended, minFleetFlows the number of openings and requests that it must
+	// have left unanswered in a large fleet. In a small fleet it is minFailedFlows. An
+	// opening is given up after a few milliseconds, during which a link may be full: with
+	// three such openings as the limit, nodes with full links ended flows at healthy
+	// servers, even if one of the openings was this node's own and had lasted
+	// minOwnSilence.
 	minReporters  = 2
 	minFleetFlows = 5
-	// fewNodes is how many others a node may have for news to take a few milliseconds, and
-	// newsFanout how many each tells at a time where there are more.
+	// smallFleetPeers is the number of peers up to which messages reach all nodes within a
+	// few milliseconds, gossipFanout the number of peers that a node informs at a time in
+	// larger fleets.
 	smallFleetPeers = 12
 	gossipFanout    = 3
-	// silentServers is how many servers of another zone must be silent, with none of it
-	// answering, before the way to the zone counts as cut.
+	// minSilentInZone is the number of servers of another zone that must be silent, with
+	// none of it answering, for the zone to count as unreachable.
 	minSilentInZone = 2
-	// silentMost is the part of the own zone's servers that may be silent for the node to
-	// judge any, and silentFew a number that always may. Where more are, it is the node
-	// whose packets are late: its link or its processor has too much to do.
+	// maxSilentFraction is the fraction of the own zone's servers that may be silent for
+	// the node to detect failures, minSilentLimit a number that always may. If more are,
+	// the node's own packets are delayed: its link or its processor is overloaded.
 	maxSilentFraction = 0.34
 	minSilentLimit    = 2
 )
