--- a/bronzesteer/evidence.go
+++ b/bronzesteer/evidence.go
@@ -2,42 +2,43 @@
 
 import "time"
 
-// ownEvidence is what this node has found of a server itself.
+// localEvidence is what this node itself has observed of a server.
 type localEvidence struct {
-	// goodAt is when it was last seen to answer.
+	// answeredAt is when the server was last seen to answer.
 	answeredAt time.Duration
-	// silent is the weight of what it left unanswered since.
+	// unansweredWeight is the weight of what it has left unanswered since.
 	unansweredWeight int
-	// unanswered is how many flows it left unanswered since, openings how many of them
-	// weren't open.
+	// unanswered counts the flows left unanswered since, unansweredOpenings those of them
+	// that weren't open.
 	unanswered         int
 	unansweredOpenings int
-	// silentSince is when the first of that was sent, silentAt when the last
+	// firstUnanswered is when the first of these was sent, lastUnanswered when the last one
 	// was found unanswered.
 	firstUnanswered time.Duration
 	lastUnanswered  time.Duration
-	// avoidUntil is until when new flows keep away from it, and avoidFor for how long they
-	// were last to.
+	// avoidUntil is until when new flows avoid the server, avoidFor the duration of the
+	// last avoidance.
 	avoidUntil time.Duration
 	avoidFor   time.Duration
 }
 
-// hearsay is what other nodes tell of a server.
+// peerEvidence is what peers report of a server.
 type peerEvidence struct {
-	// found is what they have found of it, by node, and othersGoodAt when it last
-	// answered one of them as far as they tell. suspectedAt is since when this node knows
-	// that anybody found it silent, refutedAt when that was last contradicted.
+	// findings holds the peers' findings by node. peersAnsweredAt is when the server last
+	// answered a peer, as far as reported. suspectedAt is since when this node has known of
+	// any finding, and refutedAt when this node last told peers that their findings are
+	// contradicted.
 	findings        map[uint32]finding
 	peersAnsweredAt time.Duration
 	suspectedAt     time.Duration
-	// told says that nodes have told each other lately that it doesn't answer, and
-	// disputedAt is when an answer last contradicted one of them.
+	// reported is set if nodes have recently reported the server as not answering.
+	// disputedAt is when an answer last contradicted a finding.
 	reported   bool
 	refutedAt  time.Duration
 	disputedAt time.Duration
 }
 
-// finding is what another node has found of a server, in this node's time.
+// finding is what one node has found of a server, in this node's time.
 type finding struct {
 	sameZone    bool
 	openings    int
@@ -45,7 +46,8 @@
 	first, last time.Duration
 }
 
-// suspicion is what all nodes together have found of a server since anybody was answered.
+// suspicion combines what all nodes have found of a server since it last answered any of
+// them.
 type suspicion struct {
 	reporters int
 	sameZone  bool
@@ -54,7 +56,7 @@
 	first     time.Duration
 }
 
-// add adds one node's part.
+// add adds the finding of one node.
 func (u *suspicion) add(f finding) {
 	u.reporters++
 	u.sameZone = u.sameZone || f.sameZone
@@ -72,7 +74,7 @@
 	return b.answeredAt > at
 }
 
-// good notes that the server answers.
+// recordAnswer records that the server answers.
 func (s *Steerer) recordAnswer(b *backend, at time.Duration) {
 	b.mu.Lock()
 	avoided := at < b.avoidUntil
@@ -100,16 +102,16 @@
 	}
 }
 
-// asked reports whether the server has left something unanswered lately.
+// recentlyUnanswered reports whether the server has recently left something unanswered.
 func (b *backend) recentlyUnanswered(at time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.unanswered > 0 && at-b.lastUnanswered < silenceMaxAge
 }
 
-// unanswered notes that what was sent to the server at sent has no answer
-// at at. It counts only if nobody else was answered meanwhile: then the server
-// or the way to it is silent, and not just one packet lost.
+// recordUnanswered records that what was sent to the server at sent has no answer at at. It
+// counts only if the server has answered nobody else meanwhile; otherwise a single packet
+// may have been lost.
 func (s *Steerer) recordUnanswered(b *backend, sent, at time.Duration, weight int) {
 	e, counts, begins := b.addUnanswered(sent, at, weight)
 	if counts {
@@ -120,8 +122,8 @@
 	}
 }
 
-// unansweredAt notes the same in the server's entry, and reports whether it counts and
-// whether the server begins to be avoided.
+// addUnanswered adds to the server's evidence, and reports whether it counts and whether
+// the server begins to be avoided.
 func (b *backend) addUnanswered(sent, at time.Duration, weight int) (e Event, counts, begins bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -156,24 +158,24 @@
 	}, true, true
 }
 
-// clearUnanswered forgets what this node's flows left unanswered.
+// clearUnanswered discards what this node's flows left unanswered.
 func (e *localEvidence) clearUnanswered() {
 	e.unansweredWeight, e.unanswered, e.unansweredOpenings, e.firstUnanswered = 0, 0, 0, 0
 }
 
-// beSuspected notes that something is found at at, unless something was before; the
-// caller holds the lock.
+// startSuspicion sets suspectedAt unless there is a finding already. The caller holds the
+// lock.
 func (b *backend) startSuspicion(at time.Duration) {
 	if b.unanswered == 0 && len(b.findings) == 0 {
 		b.suspectedAt = at
 	}
 }
 
-// answeredAt returns when any node was last seen to be answered; the caller holds the
-// lock.
+// lastAnswer returns when the server last answered this node or, as reported, a peer. The
+// caller holds the lock.
 func (b *backend) lastAnswer() time.Duration { return max(b.answeredAt, b.peersAnsweredAt) }
 
-// own returns what this node itself has found since from; the caller holds the lock.
+// ownFinding returns what this node has found since from. The caller holds the lock.
 func (b *backend) ownFinding(at time.Duration, near bool, from time.Duration) (f finding, ok bool) {
 	if b.unanswered == 0 || at-b.lastUnanswered >= suspicionTimeout || b.lastAnswer() > b.firstUnanswered || b.firstUnanswered < from {
 		return f, false
@@ -183,7 +185,7 @@
 	}, true
 }
 
-// suspicion returns what all nodes together have found; the caller holds the lock.
+// suspicion returns the combined findings of all nodes. The caller holds the lock.
 func (b *backend) suspicion(at time.Duration, near bool, from time.Duration) (u suspicion) {
 	if f, ok := b.ownFinding(at, near, from); ok {
 		u.add(f)
@@ -198,8 +200,8 @@
 	return u
 }
 
-// foundByOther takes in that another node has found a server silent, and reports whether
-// others are to be told: of that, or that it isn't so.
+// mergeFinding merges a peer's finding, and reports whether peers are to be told: either of
+// the finding or of an answer that contradicts it.
 func (s *Steerer) mergeFinding(b *backend, r *Report, at time.Duration) (news bool) {
 	f := finding{sameZone: r.SameZone, openings: r.Openings, requests: r.Requests, first: at - r.First, last: at - r.Last}
 	b.mu.Lock()
@@ -231,10 +233,10 @@
 	return true
 }
 
-// answeredOther notes that the server has answered another node at goodAt, and reports
-// whether that contradicts what is known here. What is then still said against it has to
-// wait for further answers as if it was new: while some nodes keep finding a server silent,
-// one that answers others is never without a finding that no answer has contradicted yet.
+// mergeAnswer records that the server answered a peer at answeredAt, and reports whether
+// that contradicts what is known here. Findings that remain must then wait for
+// contradicting answers as if they were new: while some nodes keep reporting a server that
+// answers others, there is always a finding that no answer has contradicted yet.
 func (s *Steerer) mergeAnswer(b *backend, goodAt, at time.Duration) (news bool) {
 	b.mu.Lock()
 	if goodAt <= b.lastAnswer() {
--- a/bronzesteer/localhealth.go
+++ b/bronzesteer/localhealth.go
@@ -5,31 +5,33 @@
 	"time"
 )
 
-// fitness tells whether a node can judge servers: it can't while its link or its
-// processor has too much to do, nor after it stood still. What is sent through it is then
-// late both ways, and servers that are well seem silent until their answers come. A node
-// with 10 Mbit/s takes 65 ms for each upload of 80 KB: it reset callers' idle flows at a
-// server that other nodes had answers from. All methods may be called concurrently.
+// localHealth tells whether the node's own findings can be trusted. They can't while its
+// link or processor is overloaded, or after it was paused: packets are then delayed in both
+// directions, and healthy servers seem silent. An upload of 80 KB takes a node with 10
+// Mbit/s 65 ms, enough to end idle flows at a server that answered other nodes. All methods
+// may be called concurrently.
 type localHealth struct {
 	mu sync.Mutex
-	// wrong is when the last servers answered that had been found silent just before.
+	// falseSuspicions holds the times of the latest answers that refuted a finding made
+	// just before.
 	falseSuspicions [falseSuspicionLimit]time.Duration
-	// lateUntil is until when packets count as having waited here, and restedAt when the
-	// node has seen enough again after it stood still.
+	// delayedUntil is until when packets are assumed to be delayed here. suspendedUntil is
+	// when the node has observed enough again after a pause.
 	delayedUntil   time.Duration
 	suspendedUntil time.Duration
 }
 
 const (
-	// wrongMost is how many servers may have been found silent wrongly in wrongFor, and
-	// wrongBy how soon their answers come that are only late. One packet in forty may be
-	// lost now and then, and servers that have crashed are back after seconds.
+	// falseSuspicionLimit false suspicions within unhealthyTime make the node unhealthy; a
+	// single one may come from a lost packet, of which there may be one in forty at times.
+	// A server that answers within maxAnswerDelay was only late: one that has crashed is
+	// back only after seconds.
 	falseSuspicionLimit = 2
 	unhealthyTime       = 2 * time.Second
 	maxAnswerDelay      = 800 * time.Millisecond
 )
 
-// isFit reports whether the node's findings are to be believed.
+// isHealthy reports whether the node's findings are to be trusted.
 func (f *localHealth) isHealthy(at time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -37,7 +39,7 @@
 	return (oldest == 0 || at-oldest >= unhealthyTime) && at >= f.delayedUntil && at >= f.suspendedUntil
 }
 
-// wasWrong notes that a server has answered that was found silent.
+// recordFalseSuspicion records that a server has answered that was just found silent.
 func (f *localHealth) recordFalseSuspicion(at time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -45,21 +47,21 @@
 	f.falseSuspicions[falseSuspicionLimit-1] = at
 }
 
-// wasLate notes that packets have waited in this node.
+// recordDelay records that packets have been delayed in this node.
 func (f *localHealth) recordDelay(at time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.delayedUntil = at + unhealthyTime
 }
 
-// rest has the node judge nothing until it has run for settling.
+// suspend suspends failure detection for settleTime.
 func (f *localHealth) suspend(at time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.suspendedUntil = at + settleTime
 }
 
-// from returns since when what the node finds counts.
+// validFrom returns since when the node's findings count.
 func (f *localHealth) validFrom() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
