--- a/bronzesteer/report.go
+++ b/bronzesteer/report.go
@@ -6,43 +6,44 @@
 	"time"
 )
 
-// maxReports bounds the reports that a node tells at a time, maxReporters those that it
-// keeps of one server, and toldReporters those of them that it tells: what three nodes
-// found is mostly enough to act on. A report takes 14 bytes, and all fit into one
-// message. Where more servers fail at once, each message tells of some of them.
+// maxReports bounds the reports sent at a time, maxReporters those kept of one server, and
+// maxReportsPerServer those of them that are sent: the findings of three nodes mostly
+// suffice to act on. A report takes 14 bytes, and maxReports fit into one message. If more
+// servers fail at once, each message covers some of them.
 const (
 	maxReports          = 32
 	maxReporters        = 6
 	maxReportsPerServer = 3
 )
 
-// Report is what a node has found of a server, as nodes tell each other. Of a server that
-// nobody suspects there is none.
+// Report is what a node has found of a server, as exchanged between nodes. There are no
+// reports of servers that no node suspects.
 type Report struct {
 	// Server is half of the server's identifier, as in Load.
 	Server uint32
-	// Node stands for the node that found it.
+	// Node identifies the node that made the finding.
 	Node uint32
-	// SameZone tells that the node is in the server's zone, so that no cut between zones is
-	// what keeps it from being answered.
+	// SameZone is set if the node is in the server's zone, so that no partition between
+	// zones can be the cause.
 	SameZone bool
-	// Answered tells that the server has answered the node, Last ago. Otherwise it left
-	// Openings openings and Requests requests unanswered, the first of them sent First
-	// ago and the last found unanswered Last ago.
+	// Answered is set if the server answered the node, at the age Last. Otherwise the
+	// server left Openings openings and Requests requests unanswered; First is the age of
+	// the first of them when sent, Last that of the last when found unanswered.
 	Answered    bool
 	Openings    int
 	Requests    int
 	First, Last time.Duration
 }
 
-// suspects are the servers that some node suspects, or did a moment ago, and whether
-// there is something new to be told of them.
+// suspects are the servers that some node suspects, or recently did. The value is set if
+// there is something new to report.
 type suspects map[*backend]bool
 
-// HasNewReports reports whether Reports has something new since HasNewReports was last called.
+// HasNewReports reports whether Reports has something new since HasNewReports was last
+// called.
 func (s *Steerer) HasNewReports() bool { return s.newReports.Swap(false) }
 
-// suspect notes that there is something new to be told of a server.
+// queueReport marks the server as having something new to report.
 func (s *Steerer) queueReport(b *backend) {
 	s.mu.Lock()
 	s.suspects[b] = true
@@ -50,8 +51,8 @@
 	s.newReports.Store(true)
 }
 
-// Reports returns what is to be told to other nodes: what has changed since it was last
-// called, or all there is. If that is too much, it is some of it.
+// Reports returns the reports to be sent to other nodes: what has changed since it was last
+// called, or everything if all is set. If there are too many, it returns some of them.
 func (s *Steerer) Reports(all bool, now time.Time) (list []Report) {
 	s.init()
 	at := s.sinceStart(now)
@@ -70,9 +71,9 @@
 	return s.limitReports(list)
 }
 
-// some returns some of the reports if they are too many: answers before findings. While
-// nodes that are late find more servers silent than a message holds, what clears those has
-// to come through.
+// limitReports returns some of the reports if there are too many, answers before findings:
+// while delayed nodes find more servers silent than fit into a message, the answers that
+// clear these must get through.
 func (s *Steerer) limitReports(list []Report) []Report {
 	if len(list) <= maxReports {
 		return list
@@ -98,14 +99,16 @@
 	}
 }
 
-// tellLater keeps a server among those that there is something new of.
+// requeueReport marks the server again as having something new to report, without signaling
+// it.
 func (s *Steerer) requeueReport(b *backend) {
 	s.mu.Lock()
 	s.suspects[b] = true
 	s.mu.Unlock()
 }
 
-// renewNews has News say so if there is something new that was too young to be told.
+// signalQueuedReports makes HasNewReports return true if something new was too recent to be
+// reported before.
 func (s *Steerer) signalQueuedReports() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,7 +120,8 @@
 	}
 }
 
-// toTell returns the servers that others are to be told of.
+// suspectsToReport returns the servers to be reported, and marks them as reported unless
+// all is set.
 func (s *Steerer) suspectsToReport(all bool) (list []*backend) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -149,8 +153,8 @@
 	}
 }
 
-// reportsOf returns what is to be told of one server, and whether there is something to
-// be told later.
+// reportsOf returns the reports of one server, and whether there is something to be
+// reported later.
 func (s *Steerer) reportsOf(b *backend, at time.Duration) (list []Report, later bool) {
 	near := b.zoneName == s.AvailabilityZone
 	b.mu.Lock()
@@ -175,9 +179,10 @@
 	return append(list, answer), later
 }
 
-// tellsAnswer reports whether others are to be told when the server last answered: if it
-// was said lately that it doesn't, and beside findings that are newer than its answer only
-// if that contradicts others. The caller holds the lock.
+// shouldReportAnswer reports whether peers are to be told when the server last answered.
+// That is the case if it was recently reported as not answering, but beside findings that
+// are newer than its answer only if the answer contradicted others. The caller holds the
+// lock.
 func (b *backend) shouldReportAnswer(found bool, at time.Duration) bool {
 	if !b.reported || b.lastAnswer() == 0 || at-b.lastAnswer() >= suspicionTimeout {
 		return false
@@ -185,8 +190,8 @@
 	return !found || b.disputedAt > 0 && at-b.disputedAt < suspicionTimeout
 }
 
-// compare orders reports by what they are worth to others: those from the server's zone
-// first, and of these the ones of most flows.
+// compare orders reports by their value to peers: first those from the server's zone, then
+// those of most flows.
 func (r Report) compare(other Report) int {
 	if r.SameZone != other.SameZone {
 		if r.SameZone {
@@ -204,7 +209,8 @@
 	}
 }
 
-// MergeReports takes in what another node tells. What was new in it is then in Reports.
+// MergeReports merges the reports of another node. New information among them is passed on
+// by Reports.
 func (s *Steerer) MergeReports(reports []Report, now time.Time) {
 	s.init()
 	k := s.state.Load()
@@ -221,7 +227,7 @@
 	}
 }
 
-// takeReport takes in one report; servers is how many there are.
+// mergeReport merges one report. The parameter servers is the number of servers.
 func (s *Steerer) mergeReport(b *backend, r *Report, servers int, at time.Duration) {
 	if r.Node == s.Node || r.Last < 0 || r.Last >= suspicionTimeout {
 		return
--- a/bronzesteer/reportlimit.go
+++ b/bronzesteer/reportlimit.go
@@ -3,20 +3,21 @@
 import "time"
 
 const (
-	// blamedPart is the part of all servers that one other node's findings may keep new
-	// flows away from, and blamedFew a number that always may. A node with a tenth of a
-	// core sends ten openings a second, so that it can't have found a tenth of 600 servers
-	// silent within suspicionFor, whatever has become of them; one whose own packets are
-	// late finds all that it asks. What it misses others find.
+	// maxReportedFraction is the fraction of all servers that the findings of one peer may
+	// keep new flows away from, minReportedLimit the number that always may be. A node with
+	// a tenth of a core sends ten openings per second, so that it can't have found a tenth
+	// of 600 servers silent within suspicionTimeout, whatever their state; one whose own
+	// packets are delayed finds everything silent. What is missed thereby other nodes find.
 	maxReportedFraction = 0.1
 	minReportedLimit    = 8
 )
 
-// blame is which servers a node has found silent of late, and until when that counts.
+// reportedServers holds the servers that a peer has recently reported, with the times until
+// which they count.
 type reportedServers map[uint32]time.Duration
 
-// mayBlame reports whether another node's finding of a server is to be taken, and notes
-// it then.
+// acceptFinding reports whether a peer's finding of a server is within the peer's limit,
+// and counts it then.
 func (s *Steerer) acceptFinding(node, server uint32, servers int, at time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -35,7 +36,7 @@
 	return true
 }
 
-// forget drops what counts no longer.
+// expire removes entries that no longer count.
 func (b reportedServers) expire(at time.Duration) {
 	for server, until := range b {
 		if at >= until {
@@ -44,7 +45,7 @@
 	}
 }
 
-// forgetBlames drops the nodes that have found nothing of late.
+// expireReported removes the peers without recent findings.
 func (s *Steerer) expireReported(at time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
