--- a/bronzesteer/hedge.go
+++ b/bronzesteer/hedge.go
@@ -7,64 +7,64 @@
 )
 
 const (
-	// hedgeUnknown is how long an opening waits for its answer before it goes to a
-	// second server, too, while nothing is known of how long answers take, and
-	// hedgeLeast and hedgeMost bound what is learned of that. Callers repeat an opening
-	// themselves after 200 ms. Below the least, the scheduling of a node with a tenth of
-	// a core shows more than its servers do. Where answers take longer than the most, it is
-	// the node or the way that is slow, and no further server would be faster.
+	// defaultHedgeDelay is how long an opening waits for its answer before it is also sent
+	// to a second server, as long as no handshake time is known. minHedgeDelay and
+	// maxHedgeDelay bound the delay derived from handshake times. Callers retransmit an
+	// opening after 200 ms. Below the minimum, the scheduling of a node with a tenth of a
+	// core dominates the measured times. Beyond the maximum, the node or the network is
+	// slow and another server would not be faster, so that none is tried.
 	defaultHedgeDelay = 40 * time.Millisecond
 	minHedgeDelay     = 12 * time.Millisecond
 	maxHedgeDelay     = 100 * time.Millisecond
-	// hedgeDeviations is how many mean deviations over the mean an answer takes before it
-	// is overdue, and handshakePart the weight of one time in both, as usual for
-	// retransmission timers. The deviation grows faster than it shrinks: on a slow link each
+	// hedgeDeviations is the number of mean deviations above the mean after which an answer
+	// is overdue, and handshakeWeight the weight of one sample in the mean, as in
+	// retransmission timers. The deviation rises faster than it falls: on a slow link each
 	// large upload delays everything behind it.
 	hedgeDeviations     = 4
 	handshakeWeight     = 0.125
 	deviationRiseWeight = 0.25
 	deviationFallWeight = 0.03
-	// hedgeShare is how many second openings each opening allows, and hedgeBurst how many
-	// may be sent at once. A fleet whose servers are well needs none; while a third of them are
-	// silent, each costs a node one until it is avoided.
+	// hedgeBudgetRatio is the number of hedges that each opening allows, hedgeBudgetBurst
+	// how many may be sent at once. A healthy fleet needs none; while a third of the
+	// servers are silent, each costs a node one hedge until it is avoided.
 	hedgeBudgetRatio = 0.1
 	hedgeBudgetBurst = 30
-	// hedgesMost is how many further servers one opening goes to. Of two servers, both are
-	// silent for one opening in ten while a third of all are.
+	// maxHedges is the number of further servers that one opening is sent to. While a third
+	// of all servers are silent, one opening in ten finds two of them silent in a row.
 	maxHedges = 2
 )
 
-// opening is one whose caller hasn't gone on yet.
+// pendingOpening is an opening whose caller hasn't continued yet.
 type pendingOpening struct {
 	key   flowKey
 	bytes []byte
-	// first is the server that was asked first, hedges how many others were since.
+	// first is the server first tried, hedges the number of servers tried since.
 	first  *backend
 	hedges int
-	// due is when another server is to be asked. An entry that is settled isn't.
+	// due is when the next server is to be tried, unless settled is set.
 	due     time.Duration
 	settled atomic.Bool
 }
 
-// hedges are the openings that wait for their answers, and what may be spent on them.
-// All methods may be called concurrently.
+// hedgeQueue holds the openings that wait for their answers, and the budget for hedges. All
+// methods may be called concurrently.
 type hedgeQueue struct {
 	mu sync.Mutex
-	// waiting is ordered by due but for what is due in a zone that takes longer: an
-	// opening may wait for those before it, for hedgeMost at most.
+	// waiting is ordered by due, except that zones have different delays: an opening may
+	// wait for those before it, for maxHedgeDelay at most.
 	waiting []*pendingOpening
-	// spent is how many second openings were sent that the openings since don't allow yet.
+	// spent is the number of hedges sent that later openings haven't paid for yet.
 	spent float64
 }
 
-// earn counts an opening.
+// creditOpening adds the budget that one opening allows.
 func (h *hedgeQueue) creditOpening() {
 	h.mu.Lock()
 	h.spent = max(h.spent-hedgeBudgetRatio, 0)
 	h.mu.Unlock()
 }
 
-// spend reports whether another second opening may be sent.
+// takeBudget reports whether another hedge may be sent, and takes it from the budget if so.
 func (h *hedgeQueue) takeBudget() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -81,8 +81,7 @@
 	h.mu.Unlock()
 }
 
-// next drops openings that are settled, and returns when the first of the others is
-// due.
+// next removes settled openings, and returns when the first of the others is due.
 func (h *hedgeQueue) next() (due time.Duration, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -96,7 +95,7 @@
 	return h.waiting[0].due, true
 }
 
-// take returns those that are due.
+// popDue removes and returns the openings that are due.
 func (h *hedgeQueue) popDue(at time.Duration) (due []*pendingOpening) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -109,25 +108,24 @@
 	return due
 }
 
-// Hedge is an opening that is sent to a second server because the first hasn't answered.
-// At most one flow opens: the caller goes on with the server whose acceptance comes first,
-// and the other drops what nobody goes on with.
+// Hedge is an opening that is sent to a second server because the first hasn't answered. At
+// most one flow is opened: the caller continues with the server whose acceptance comes
+// first, and the other server drops the flow that nobody continues.
 type Hedge struct {
 	Packet   Packet
 	Decision Decision
 }
 
-// NextHedge returns when Hedges is to be called next, unless a packet comes before; ok is
-// false if nothing waits.
+// NextHedge returns when Hedges is to be called next, unless a packet comes before. If ok
+// is false, no opening waits.
 func (s *Steerer) NextHedge() (at time.Time, ok bool) {
 	s.init()
 	due, ok := s.hedges.next()
 	return s.start.Add(due), ok
 }
 
-// Hedges returns the openings that are to be sent to further servers at now. All packets
-// that came before must have been handled: an answer that waits for a node that is late
-// isn't overdue.
+// Hedges returns the openings to be sent to further servers at now. All packets received
+// before must have been handled: an answer still queued in a delayed node isn't overdue.
 func (s *Steerer) Hedges(now time.Time) (list []Hedge) {
 	k := s.state.Load()
 	if k == nil {
@@ -159,7 +157,7 @@
 	if next.server == nil || next.tier <= tierAvoided {
 		return h, false
 	}
-	// A pool that has too much to do isn't given more.
+	// An overloaded pool must not get additional openings.
 	takes := time.Duration(next.inFlightPerSlot * float64(next.backend.stats.serviceTime()))
 	if shedFraction(takes, route.Objective) > 0 || !s.hedges.takeBudget() {
 		return h, false
@@ -174,7 +172,7 @@
 	return Hedge{Packet: p, Decision: d}, true
 }
 
-// expect has an opening wait for its answer.
+// scheduleHedge queues an opening for a hedge.
 func (s *Steerer) scheduleHedge(f *flow, p *Packet, at time.Duration) {
 	s.hedges.creditOpening()
 	if len(p.Bytes) == 0 {
@@ -188,8 +186,8 @@
 	}
 }
 
-// settle ends the waiting of a flow's opening, for which b has answered, and tells how
-// it went if more than one server was asked.
+// settle ends the wait for the answer to a flow's opening, which b has answered, and
+// returns the outcome if more than one server was tried.
 func (f *flow) settle(b *backend, at time.Duration) (outcome HedgeOutcome) {
 	o := f.pending
 	if o == nil {
@@ -209,7 +207,7 @@
 	}
 }
 
-// patience returns how long the answer to an opening may take.
+// hedgeDelay returns how long the answer to an opening may take before it is hedged.
 func (s *Steerer) hedgeDelay(b *backend) time.Duration {
 	z := b.zone
 	z.mu.Lock()
@@ -220,7 +218,7 @@
 	return max(z.handshakeTime+hedgeDeviations*z.deviation, minHedgeDelay)
 }
 
-// observe takes in how long an opening at a server of the zone took.
+// observeHandshake records how long an opening at a server of the zone took.
 func (z *zone) observeHandshake(took time.Duration) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
--- a/bronzesteer/probe.go
+++ b/bronzesteer/probe.go
@@ -7,21 +7,20 @@
 	"bronzeusher.example/bronzeusher/bronzeroute"
 )
 
-// trials are servers at which other nodes' openings were left unanswered, and that this one
-// has flows at without having opened any since. Each is to have the opening of one caller,
-// which goes to a further server when the answer is overdue: it costs that caller some 20
-// ms, and shows whether the flows are lost, whose callers would find it out only by their
-// next request, and lose it if it must not be repeated. A server that is only slow accepts
+// probeTargets are servers at which peers had unanswered openings, and at which this node
+// has flows but no opening outstanding. Each is sent the opening of one caller, which goes
+// on to a further server when the answer is overdue. That costs the caller some 20 ms, and
+// shows whether the flows are lost; their callers would otherwise find out only by losing
+// their next request, if it must not be retried. A server that is only slow still accepts
 // openings at once.
 type probeTargets []*backend
 
-// trialsMost is how many openings of this node a server must have left unanswered for no
-// more to try it. Of 120 servers that crash at once each node hears little at a time: two
-// trials bring it nearer to deadProof.
+// maxProbes is the number of unanswered openings of this node from which on a server is no
+// longer probed. If 120 servers crash at once, each node is told little at a time: two
+// probes bring it closer to minFleetFlows.
 const maxProbes = 2
 
-// findTrials brings up to date which servers are to be tried. The suspects are those that
-// something is told of.
+// updateProbes updates the servers to be probed, which are among the suspects.
 func (s *Steerer) updateProbes(suspects []*backend, at time.Duration) {
 	var found probeTargets
 	for _, b := range suspects {
@@ -44,9 +43,8 @@
 	return b.flows > 0 && b.openings == 0 && u.openings > 0
 }
 
-// trial returns the server that an opening is to try, in place of the one that was chosen
-// for it; ok is false if there is none. The opening must be one that can go on to another
-// server soon.
+// probe returns the server that an opening is to probe in place of the chosen one. The
+// opening must be one that can be hedged soon; ok is false if there is no such server.
 func (s *Steerer) probe(k *viewState, chosen choice, p *Packet, now time.Time) (c choice, ok bool) {
 	if chosen.tier <= tierAvoided || len(p.Bytes) == 0 {
 		return c, false
@@ -62,7 +60,7 @@
 	return choice{server: server, backend: b, tier: chosen.tier, inFlightPerSlot: chosen.inFlightPerSlot}, true
 }
 
-// takeTrial takes one of the pool's servers that are to be tried, nil if there is none.
+// takeProbe removes and returns one of the pool's servers to be probed, or nil.
 func (s *Steerer) takeProbe(pool *poolStats) *backend {
 	s.mu.Lock()
 	defer s.mu.Unlock()
