--- a/bronzesteer/place.go
+++ b/bronzesteer/place.go
@@ -9,34 +9,33 @@
 )
 
 const (
-	// coldShare is the part of its full share that a server gets that has just
-	// started and is slow.
+	// coldSlotFraction is the fraction of its slots that a server counts with while it is
+	// cold, since it is slow then.
 	coldSlotFraction = 0.5
-	// avoidMostShare is the part of a pool that may be avoided. If more seem
-	// silent, it is likelier that something else is wrong, and keeping away
-	// from them would only press the rest.
-	// With fewer than avoidMostOf servers, all may be: they are still used where
-	// there is no other, and routes with a second pool use that.
+	// maxAvoidedFraction is the fraction of a pool that may be avoided. If more servers
+	// seem silent, the cause is probably elsewhere, and avoiding them would only overload
+	// the rest. In a pool of fewer than minServersForAvoidLimit servers, all may be
+	// avoided: they are still used where there are no others, and routes with a second pool
+	// use that.
 	maxAvoidedFraction      = 0.75
 	minServersForAvoidLimit = 4
-	// zoneBound is how far the utilization of the own zone's servers may be
-	// over that of all before flows are placed in other zones, and zoneIdle is
-	// the utilization up to which it doesn't matter, since hardly a request
-	// waits for another.
+	// maxZoneImbalance is how far the utilization of the own zone's servers may exceed the
+	// region's before flows are placed in other zones. Below idleUtilization the imbalance
+	// doesn't matter, since hardly any request waits for another.
 	maxZoneImbalance = 1.25
 	idleUtilization  = 0.4
-	// zoneLead is how many requests for each slot the least used server of the
-	// own zone may have more than the best of the others. Rates tell of a surge
-	// only after seconds: when all nodes are back from a power cut, a zone's callers
-	// open their flows within half a second, and would fill its servers' queues, which
-	// then refuse. With less of a lead more flows leave the zone than have to, and fail
-	// when zones are cut off from each other.
+	// maxZoneLead is how many requests per slot the least loaded server of the own zone may
+	// have more than the best of other zones. Rates show a surge only after seconds: when
+	// all nodes are back from a power failure, a zone's callers open their flows within
+	// half a second and would fill its servers' queues. A smaller lead moves more flows out
+	// of the zone than necessary, and these fail when zones are partitioned from each
+	// other.
 	maxZoneLead = 1.0
-	// slowMost bounds how much slower than its pool a server may count.
+	// maxSlowdown bounds the factor by which a server counts as slower than its pool.
 	maxSlowdown = 10
 )
 
-// tier orders servers: of a lower one none is taken while a higher has any.
+// tier ranks servers. A server is chosen only if there is none of a higher tier.
 type tier uint8
 
 const (
@@ -53,22 +52,22 @@
 	server  *bronzeroute.Server
 	backend *backend
 	tier    tier
-	// used is the part of its slots that is in use on average, all nodes'
-	// requests taken together, and slots how many requests it can work on.
+	// utilization is the average fraction of the server's slots in use by requests of all
+	// nodes, slots the number of requests it can process at once.
 	utilization float64
 	slots       float64
-	// load is what this node has there at this moment, for each slot.
+	// load is the present load of this node's requests per slot, with the flow to be
+	// placed.
 	load float64
-	// work is the same without the flow that is placed and for all slots, rate
-	// what this node sends there and others what the other nodes do, in requests
-	// a second.
+	// inFlight is this node's load without the flow to be placed, for all slots. rate and
+	// peerRate are the request rates of this node and of its peers, in requests per second.
 	inFlight float64
 	rate     float64
 	peerRate float64
 }
 
-// choice is the server that is to take a flow, its tier, and how many requests
-// its pool has at work for each slot.
+// choice is the server chosen for a flow, with its tier and the requests in flight per slot
+// in its pool.
 type choice struct {
 	server          *bronzeroute.Server
 	backend         *backend
@@ -76,23 +75,24 @@
 	inFlightPerSlot float64
 }
 
-// use is what the candidate has to do, in requests for each of its slots.
+// score is the candidate's load per slot, the lower the better.
 func (c *candidate) score() float64 { return c.load + c.utilization }
 
-// place chooses the server for a new flow, not the one tried before; the choice
-// has none if there is none. Of a cold server's part it takes what the flow needs.
+// place chooses the server for a new flow, other than the one already tried. The choice is
+// empty if there is none. For a cold server it takes the opening from its warm-up limit.
 func (s *Steerer) place(k *viewState, route *bronzeroute.Route, p *Packet, tried *backend, at time.Duration, now time.Time) choice {
 	for {
 		c := s.chooseServer(k, route, p, tried, at, now)
 		if c.server == nil || !s.isRateLimited(c.server, now) || s.takeColdSend(c.server, c.backend, at) {
 			return c
 		}
-		// Another goroutine took it meanwhile: the server is no candidate any more.
+		// Another goroutine has used up the limit; the server is no longer a candidate.
 	}
 }
 
-// prefer returns the best server for a flow. The pool is chosen by the route's weights. If
-// none of its servers can be reached, a pool of the route with a better one is used.
+// chooseServer returns the best server for a flow. The pool is chosen by the route's
+// weights; if none of its servers can be used, another pool of the route with a better one
+// is.
 func (s *Steerer) chooseServer(k *viewState, route *bronzeroute.Route, p *Packet, tried *backend, at time.Duration, now time.Time) choice {
 	pool, ok := route.Pick(p.Key.Hash())
 	if !ok {
@@ -114,12 +114,12 @@
 	return best
 }
 
-// choose returns the server of a pool that is to take a flow.
+// chooseFromPool returns the server of a pool for a flow.
 func (s *Steerer) chooseFromPool(p *pool, tried *backend, at time.Duration, now time.Time) choice {
 	if p == nil {
 		return choice{}
 	}
-	// Both stay on the stack: an opening allocates nothing here.
+	// Both arrays stay on the stack, so that openings don't allocate here.
 	var candidates [maxFullScan]candidate
 	var drawn [ownZoneSample + otherZonesSample]member
 	if len(p.members) <= maxFullScan {
@@ -138,7 +138,7 @@
 	return c
 }
 
-// pick returns which of the candidates is to take a flow.
+// pickCandidate returns the candidate for a flow.
 func (s *Steerer) pickCandidate(candidates []candidate, sum summary) choice {
 	if len(candidates) == 0 {
 		return choice{}
@@ -157,7 +157,7 @@
 	return choice{server: c.server, backend: c.backend, tier: c.tier, inFlightPerSlot: sum.inFlight.perSlot()}
 }
 
-// candidates appends those of the members that may take a flow at all.
+// candidates appends those members that may take a flow.
 func (s *Steerer) candidates(list []candidate, members []member, tried *backend, sum summary, at time.Duration, now time.Time) []candidate {
 	for _, m := range members {
 		if m.backend == tried {
@@ -172,8 +172,8 @@
 	return list
 }
 
-// least returns the least loaded candidate of a tier, nil if there is none;
-// among equals one at random, so that nodes that know the same spread.
+// leastLoaded returns the least loaded candidate of a tier, or nil. Ties are broken at
+// random, so that nodes with the same information don't all choose the same server.
 func (s *Steerer) leastLoaded(candidates []candidate, t tier) (best *candidate) {
 	bestLoad, equals := 0.0, 0
 	for i := range candidates {
@@ -195,10 +195,10 @@
 	return best
 }
 
-// leaveZone reports whether a flow is to be placed outside the own zone. Flows
-// that stay go on when zones are cut off from each other, and their packets
-// cross no zone. But callers may be spread over zones otherwise than servers:
-// then as many leave as bring the own zone's servers to the bound.
+// shouldSpill reports whether a flow is to be placed outside the own zone. Flows within the
+// zone survive a partition between zones, and their packets don't cross zones. If callers
+// are distributed over zones unlike servers, as many flows are placed elsewhere as bring
+// the own zone's servers down to the bound.
 func (s *Steerer) shouldSpill(sum summary) bool {
 	own, all := sum.ownZone, sum.region
 	if own.slots == 0 || own.slots == all.slots {
@@ -209,7 +209,7 @@
 	return used > bound && s.randomFloat() > bound/used
 }
 
-// chance returns a number in [0,1).
+// randomFloat returns a number in [0, 1).
 func (s *Steerer) randomFloat() float64 {
 	if s.Random != nil {
 		return float64(s.Random(randomSteps)) / randomSteps
@@ -217,11 +217,11 @@
 	return rand.Float64()
 }
 
-// chances is how finely Random is asked for a chance.
+// randomSteps is the resolution of randomFloat if it uses Random.
 const randomSteps = 1 << 20
 
-// mayAvoid reports whether few enough of the pool's servers are silent to
-// keep away from them.
+// mayAvoid reports whether few enough of the pool's servers are avoided to go on avoiding
+// them.
 func (s *Steerer) mayAvoid(members []member, at time.Duration) bool {
 	serving, avoided := 0, 0
 	for _, m := range members {
@@ -253,8 +253,8 @@
 	}
 }
 
-// poolLatency returns the median latency of a pool's servers, which a few
-// slow ones don't change, so that they stand out.
+// poolLatency returns the median latency of a pool's servers, so that a few slow servers
+// stand out, and defaultLatency if none is known.
 func poolLatency(members []member) time.Duration {
 	if median := medianLatency(members); median > 0 {
 		return median
@@ -262,7 +262,7 @@
 	return defaultLatency
 }
 
-// medianLatency returns the same, 0 if none is known.
+// medianLatency is like poolLatency, but returns 0 if no latency is known.
 func medianLatency(members []member) time.Duration {
 	latencies := make([]time.Duration, 0, len(members))
 	for _, m := range members {
@@ -279,7 +279,7 @@
 	return latencies[(len(latencies)-1)/2]
 }
 
-// candidate returns the server as one that may take a flow.
+// candidate returns the server as a candidate.
 func (b *backend) candidate(server *bronzeroute.Server, t tier, latency time.Duration, now time.Time) candidate {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/bronzesteer/pool.go
+++ b/bronzesteer/pool.go
@@ -8,30 +8,30 @@
 )
 
 const (
-	// maxFullScan is up to how many servers a pool has for all of them to be looked
-	// at for each opening. Beyond it a sample is: of a thousand servers, finding the best
-	// would take a node with a tenth of a core a fifth of its time.
+	// maxFullScan is the size up to which all servers of a pool are compared for each
+	// opening. Larger pools are sampled: finding the best of a thousand servers would take
+	// a node with a tenth of a core a fifth of its time.
 	maxFullScan = 48
-	// ownZoneSample and sampleOthers are how many servers of the own zone and of the
-	// others a sample has. The best of so many is nearly always among the best tenth of
-	// the zone, which is more than what is known of loads is worth; and the
-	// others only serve to see whether the zone is left.
+	// ownZoneSample and otherZonesSample are the numbers of servers sampled from the own
+	// zone and from the others. The best of so many is nearly always among the best tenth
+	// of the zone, which exceeds the accuracy of the loads. Those of other zones only serve
+	// to see whether flows should leave the zone.
 	ownZoneSample    = 24
 	otherZonesSample = 12
-	// summaryMaxAge is how old what is known of a large pool as a whole may be, but for
-	// the requests at work. Rates are brought up to date that often, and a silent
-	// server is avoided for three times as long.
+	// summaryMaxAge is how long the summary of a large pool is reused, apart from its
+	// requests in flight. Rates are updated that often, and a silent server is avoided for
+	// three times as long.
 	summaryMaxAge = loadInterval
-	// latencySample is of how many servers of a large pool the latency is taken.
+	// latencySample is the number of servers of a large pool whose latencies are sampled.
 	latencySample = 2 * maxFullScan
 )
 
-// pool are the servers of a pool that aren't gone, as a view has them.
+// pool holds the servers of a pool in a view, except those that are gone.
 type pool struct {
-	// servers are the same as the view has them.
+	// servers is the view's own slice.
 	servers []*bronzeroute.Server
-	// members begin with the own zone's servers, which are own many. While the pool
-	// is put together, the rest is in others.
+	// members begins with the ownZoneCount servers of the own zone. While the pool is being
+	// built, the rest is in otherZones.
 	members      []member
 	ownZoneCount int
 	otherZones   []member
@@ -42,21 +42,21 @@
 	summary      summary
 }
 
-// summary is what counts of a pool as a whole.
+// summary is the state of a pool as a whole.
 type summary struct {
-	// mayAvoid says that silent servers may be kept away from, and latency is the
-	// median of the servers'.
+	// mayAvoid is set if silent servers may be avoided. latency is the servers' median
+	// latency.
 	mayAvoid bool
 	latency  time.Duration
-	// ownZone is the use of the ownZone zone's servers, region that of all of the region.
+	// ownZone is the usage of the own zone's servers, region that of the whole region.
 	ownZone, region usage
 	inFlight        poolInFlight
 }
 
-// usage is how many slots servers have, and how many are in usage.
+// usage is the number of slots in use and in total.
 type usage struct{ used, slots float64 }
 
-// add adds a member while the pool is put together.
+// add adds a member while the pool is being built.
 func (p *pool) add(m member, ofOwnZone bool) {
 	if !ofOwnZone {
 		p.otherZones = append(p.otherZones, m)
@@ -66,13 +66,13 @@
 	p.ownZoneCount++
 }
 
-// hasServers reports whether the pool hasServers of these servers, which views share that have the
-// same ones.
+// hasServers reports whether the pool was built from servers. Views with the same servers
+// in a pool share the slice.
 func (p *pool) hasServers(servers []*bronzeroute.Server) bool {
 	return len(p.servers) == len(servers) && &p.servers[0] == &servers[0]
 }
 
-// summary returns what counts of a large pool as a whole, at most summaryFor old.
+// summary returns the summary of a large pool, at most summaryMaxAge old.
 func (s *Steerer) summary(p *pool, at time.Duration, now time.Time) summary {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -99,7 +99,7 @@
 	}
 }
 
-// add counts a candidate.
+// add adds a candidate to the summary.
 func (sum *summary) add(c *candidate) {
 	sum.inFlight.add(c)
 	if c.tier != tierOwnZone && c.tier != tierOtherZone {
@@ -116,14 +116,14 @@
 	u.slots += c.slots
 }
 
-// samplePool appends some members of a large pool, at most sampleOwn and
-// sampleOthers.
+// samplePool appends some members of a large pool, at most ownZoneSample and
+// otherZonesSample.
 func (s *Steerer) samplePool(list []member, p *pool) []member {
 	list = s.appendSample(list, p.members[:p.ownZoneCount], ownZoneSample)
 	return s.appendSample(list, p.members[p.ownZoneCount:], otherZonesSample)
 }
 
-// sampleMembers returns n of the members, all if there are no more.
+// sampleMembers returns n of the members, or all if there are no more.
 func (s *Steerer) sampleMembers(from []member, n int) []member {
 	if len(from) <= n {
 		return from
@@ -131,12 +131,12 @@
 	return s.appendSample(make([]member, 0, n), from, n)
 }
 
-// appendSample appends n of the members, all if there are no more.
+// appendSample appends n of the members, or all if there are no more.
 func (s *Steerer) appendSample(list, from []member, n int) []member {
 	if len(from) <= n {
 		return append(list, from...)
 	}
-	// One of each n-th part: no member comes twice.
+	// One member of each n-th part is drawn, so that none is drawn twice.
 	for i := range n {
 		begin, end := i*len(from)/n, (i+1)*len(from)/n
 		list = append(list, from[begin+s.random(end-begin)])
