--- a/bronzesteer/latency.go
+++ b/bronzesteer/latency.go
@@ -6,42 +6,43 @@
 )
 
 const (
-	// latencyPart is the least weight of one observation in the average latency, and
-	// latencyOver the time after which what was observed before has lost most of its own.
-	// Of many nodes each sees an answer of a server every few seconds: with the least
-	// weight alone they would learn too late that it has become slow.
+	// minLatencyWeight is the least weight of one sample in the average latency, and
+	// latencyTimeConstant the time after which earlier samples have lost most of their
+	// weight. In a large fleet, a node sees an answer of a server only every few seconds:
+	// with a fixed weight it would learn too late that the server has become slow.
 	minLatencyWeight    = 0.1
 	latencyTimeConstant = time.Second
-	// refusedIn is the part of the usual time below which an answer counts as refusedAs
-	// times as long as usual. Servers that fail everything, or whose queue is full, answer
-	// in a tenth of the time, and would look like the quickest and idlest of their pool.
-	// Where all servers give some quick answers, none stands out by them. Where
-	// servers are busy anyway (freeUse), a full queue is no fault of theirs: to keep callers
-	// away from each that refuses would fill the others, one after the other.
+	// An answer that takes less than 1/fastFailureRatio of the usual time counts as
+	// fastFailurePenalty times the usual time. Servers that fail every request, or whose
+	// queue is full, answer in a tenth of the time and would look like the fastest and
+	// least loaded of their pool. Where all servers give some quick answers, none stands
+	// out. Where servers are busy anyway (unqueuedUtilization), a full queue isn't the
+	// server's fault: avoiding each one that refuses would fill the others in turn.
 	fastFailureRatio   = 4
 	fastFailurePenalty = 5
-	// forgiveFor is in what time a server that counts as slow loses most of that without a
-	// new observation: while nobody is sent there, nothing shows that it is well again.
+	// latencyDecayTime is the time constant with which a slow server's latency returns to
+	// the usual one without new samples: while it gets no flows, nothing would show its
+	// recovery.
 	latencyDecayTime = 4 * time.Second
-	// latencyUnknown stands for the latency of servers that none was observed
-	// of. It only scales the load of all alike.
+	// defaultLatency is used while no latency in the pool is known. It scales all loads
+	// alike.
 	defaultLatency = 30 * time.Millisecond
 )
 
-// responseTime is how long a server takes to answer.
+// latencyStats is how long a server takes to answer.
 type latencyStats struct {
-	// latency is the average time to the first part of an answer, observedAt when one was
-	// last seen.
+	// latency is the average time to the first part of an answer, observedAt the time of
+	// the last sample.
 	latency    time.Duration
 	observedAt time.Duration
-	// othersLatency is the average latency that the other nodes tell of, 0 if none does.
+	// peerLatency is the average latency that peers report, 0 if none does.
 	peerLatency time.Duration
 }
 
-// workFor returns how long a request counts as being worked on without a sign
-// of its answer. Some callers acknowledge an answer of one packet only with their
-// next request, so that much more than the usual latency may say that the answer was
-// short; a caller without an answer repeats itself after 200 ms.
+// requestTimeout returns how long a request counts as in flight without a sign of its
+// answer. Some callers acknowledge a single-packet answer only with their next request, so
+// that after a multiple of the usual latency the answer has probably been received; a
+// caller without an answer retransmits its request after 200 ms.
 func (b *backend) requestTimeout() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -51,9 +52,9 @@
 	return min(max(3*b.latency, minRequestTimeout), maxRequestTimeout)
 }
 
-// fleetLatency returns the average latency that all nodes see, 0 if none does; the caller
-// holds the lock. A node that sends a server one request in five seconds would find out
-// alone only after half a minute that it has become slow.
+// fleetLatency returns the average latency seen by all nodes, 0 if unknown. The caller
+// holds the lock. A node that sends a server one request in five seconds would alone take
+// half a minute to notice that it has become slow.
 func (b *backend) fleetLatency() time.Duration {
 	switch {
 	case b.peerLatency == 0:
@@ -65,8 +66,8 @@
 	return time.Duration(own*float64(b.latency) + (1-own)*float64(b.peerLatency))
 }
 
-// forgive brings the latency of a server that counts as slow nearer to the usual one, for
-// the time that has passed; the caller holds the lock.
+// decayLatency moves the latency of a slow server towards the usual one, by the time that
+// has passed. The caller holds the lock.
 func (b *backend) decayLatency(passed time.Duration) {
 	usual := time.Duration(b.stats.medianLatency.Load())
 	if usual == 0 || b.latency <= usual {
@@ -75,7 +76,7 @@
 	b.latency = usual + time.Duration(float64(b.latency-usual)*math.Exp(-float64(passed)/float64(latencyDecayTime)))
 }
 
-// observe takes in one time from a request to its answer.
+// observeLatency records the time from a request to its answer.
 func (b *backend) observeLatency(took, at time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -91,8 +92,8 @@
 	b.updateLatency(took, at)
 }
 
-// observeOverdue takes in that a request has been without an answer for so long. It says
-// nothing of what the work itself takes.
+// observeOverdue records that a request has been unanswered for age. It doesn't affect the
+// service time.
 func (b *backend) observeOverdue(age, at time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -101,7 +102,7 @@
 	}
 }
 
-// average brings the latency up to date by one time.
+// updateLatency updates the average latency by one sample.
 func (r *latencyStats) updateLatency(took, at time.Duration) {
 	part := max(minLatencyWeight, 1-math.Exp(-float64(at-r.observedAt)/float64(latencyTimeConstant)))
 	r.latency += time.Duration(part * float64(took-r.latency))
--- a/bronzesteer/load.go
+++ b/bronzesteer/load.go
@@ -10,51 +10,48 @@
 )
 
 const (
-	// loadFor is how long another node's loads count.
+	// peerLoadTimeout is how long the loads reported by a peer are used.
 	peerLoadTimeout = 2500 * time.Millisecond
-	// loadsEvery is how often loads are brought up to date and lost servers
-	// looked for.
+	// loadInterval is how often loads are updated and gone servers are looked for.
 	loadInterval = 500 * time.Millisecond
-	// rateOver is the time that a request rate is averaged over.
+	// rateTimeConstant is the time that request rates are averaged over.
 	rateTimeConstant = 2 * time.Second
-	// maxLoads bounds the servers that a node tells of, those that it sends most to, by
-	// the bytes that it may spend on messages.
+	// maxLoads bounds the servers in a node's loads, by the bytes available in its
+	// messages. Those with the highest rates are sent.
 	maxLoads = 45
 )
 
-// serverLoad is what a server has to do.
+// serverLoad is the load of a server.
 type serverLoad struct {
-	// opening, flows and work count this node's openings without an answer,
-	// open flows, and requests that are worked on.
+	// openings, flows and inFlight count this node's unanswered openings, open flows and
+	// requests in flight.
 	openings int
 	flows    int
 	inFlight int
-	// rate is the average of the requests that this node sends to it, and
-	// others that of the other nodes as far as they tell, in requests a second.
+	// rate is the average rate of this node's requests to the server, peerRate that of all
+	// peers as far as reported, in requests per second.
 	rate     float64
 	peerRate float64
 }
 
-// Load is what a node sends to one server.
+// Load is the load that a node puts on one server.
 type Load struct {
-	// Server is half of the server's identifier, which is enough to tell
-	// servers apart where a mistake only misplaces a flow.
+	// Server is half of the server's identifier. A collision only misplaces a flow.
 	Server uint32
-	// Rate is in requests a second.
+	// Rate is in requests per second.
 	Rate float64
-	// Latency is the average time of late to the first part of an answer, 0 if the node
-	// saw none.
+	// Latency is the recent average time to the first part of an answer, 0 if unknown.
 	Latency time.Duration
 }
 
-// nodeLoads is what another node has told.
+// peerLoads holds the loads that a peer has reported.
 type peerLoads struct {
 	at    time.Duration
 	loads []Load
 }
 
-// Loads returns what this node sends to servers, for the other nodes, as of the
-// last time that loads were brought up to date. The caller must not change it.
+// Loads returns the load that this node puts on servers, for its peers, as of the last
+// update by Sweep. The caller must not change it.
 func (s *Steerer) Loads() []Load {
 	if told := s.ownLoads.Load(); told != nil {
 		return *told
@@ -62,8 +59,8 @@
 	return nil
 }
 
-// setTold keeps what Loads returns. Nodes are told several times a second, and
-// gathering it looks at thousands of servers.
+// storeLoads stores what Loads returns. Loads is called several times per second, and
+// collecting the loads scans thousands of servers.
 func (s *Steerer) storeLoads(loads []Load) {
 	if len(loads) > maxLoads {
 		slices.SortFunc(loads, func(a, b Load) int { return cmp.Compare(b.Rate, a.Rate) })
@@ -74,10 +71,10 @@
 
 func shortID(server *bronzeroute.Server) uint32 { return uint32(server.ID) }
 
-// leastRate is the least rate that is told, in requests a second.
+// minReportedRate is the least rate that is reported, in requests per second.
 const minReportedRate = 0.1
 
-// SetLoads takes in what another node sends to servers.
+// SetLoads records the loads reported by another node.
 func (s *Steerer) SetLoads(node string, loads []Load, now time.Time) {
 	s.init()
 	s.mu.Lock()
@@ -85,13 +82,13 @@
 	s.peerLoads[node] = peerLoads{at: s.sinceStart(now), loads: loads}
 }
 
-// SetPeerCount tells how many nodes there are beside this one.
+// SetPeerCount sets the number of other nodes.
 func (s *Steerer) SetPeerCount(others int) {
 	s.peers.Store(int64(others))
 }
 
-// updateLoads lets rates age and adds up what the other nodes told. Where only
-// some of them are heard in time, they stand for all.
+// updateLoads decays rates and sums the loads of peers. If only some peers have reported
+// recently, their loads are scaled up to all.
 func (s *Steerer) updateLoads(k *viewState, at time.Duration) {
 	sums, heard := s.sumLoads(at)
 	scale := 1.0
@@ -121,7 +118,7 @@
 	s.updateMedianLatency(k)
 }
 
-// updateUsual brings up to date how long the servers of each pool usually take.
+// updateMedianLatency updates the median latency of each pool.
 func (s *Steerer) updateMedianLatency(k *viewState) {
 	for _, p := range k.pools {
 		if len(p.members) > 0 {
@@ -130,8 +127,8 @@
 	}
 }
 
-// loadSum is what other nodes send to a server, in requests a second, and how long it
-// takes, each node's latency by what it sends.
+// loadSum is the load of all peers on a server, in requests per second, with their
+// latencies weighted by rate.
 type loadSum struct {
 	rate        float64
 	latencyRate float64
@@ -153,7 +150,7 @@
 	return time.Duration(u.latencySum / u.latencyRate * float64(time.Second))
 }
 
-// sumLoads adds up, by server, what other nodes told lately, and counts them.
+// sumLoads sums the recent loads of peers by server, and counts these peers.
 func (s *Steerer) sumLoads(at time.Duration) (sums map[uint32]loadSum, heard int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -173,7 +170,7 @@
 	return sums, heard
 }
 
-// use returns what part of the server's slots is in use if its requests take so long; the
+// utilization returns the fraction of the server's slots in use at the given latency. The
 // caller holds the lock.
 func (b *backend) utilization(latency time.Duration) float64 {
 	return (b.rate + b.peerRate) * latency.Seconds() / float64(max(b.slots, 1))
@@ -192,7 +189,7 @@
 	b.mu.Unlock()
 }
 
-// begin notes that a request is sent to the server.
+// beginRequest records that a request is sent to the server.
 func (b *backend) beginRequest() {
 	b.stats.inFlight.Add(1)
 	b.mu.Lock()
@@ -201,7 +198,7 @@
 	b.mu.Unlock()
 }
 
-// finish notes that a request needs the server no longer.
+// finishRequest records that a request is no longer in flight.
 func (b *backend) finishRequest() {
 	b.stats.inFlight.Add(-1)
 	b.mu.Lock()
