--- a/bronzesteer/refuse.go
+++ b/bronzesteer/refuse.go
@@ -9,21 +9,20 @@
 )
 
 const (
-	// exemptRate and freeBurst are how many openings of one endpoint a second are
-	// never turned away, and how many at once. An endpoint with few callers isn't
-	// what fills a pool, so they don't pay for those of others; and the openings
-	// that are let through show the end of a cut. Five a second from each of six
-	// nodes fill the queues within the first seconds of a surge.
+	// exemptRate and exemptBurst are the rate per second and the burst of openings of each
+	// endpoint that are never refused by load. An endpoint with few callers isn't what
+	// overloads a pool, so that its callers don't pay for those of others; and the openings
+	// let through show when a partition has healed. At five per second, the openings of six
+	// nodes filled the queues within the first seconds of a surge.
 	exemptRate  = 1
 	exemptBurst = 3
 )
 
-// refusal tells why an opening that would go to c is turned away at once, and not
-// sent to wait there; ok is false if it isn't.
+// refusal returns the decision to refuse an opening that would go to c, instead of letting
+// it wait there. It returns false if the opening is not to be refused.
 //
-// Only the first copy of an opening is turned away. An earlier copy may have
-// reached a server, and its acceptance be on the way: the reset would end a flow
-// that is open.
+// Only the first transmission of an opening is refused. An earlier one may have reached a
+// server that has accepted it, and the reset would end an open flow.
 func (s *Steerer) refusal(k *viewState, route *bronzeroute.Route, p *Packet, c choice, now time.Time) (d Decision, ok bool) {
 	if p.Retransmits > 0 {
 		return d, false
@@ -42,9 +41,9 @@
 	return d, !s.isExempt(route, now)
 }
 
-// refuseNoServer returns what becomes of an opening that no server may take: it is refused at once,
-// with the reason. An earlier copy may have reached a server that could take it a moment
-// ago, so that a later one is dropped where servers are there.
+// refuseNoServer refuses an opening that no server may take. A retransmission is dropped
+// instead where the route has servers: one of them may have accepted the opening a moment
+// ago.
 func (s *Steerer) refuseNoServer(k *viewState, route *bronzeroute.Route, p *Packet, now time.Time) Decision {
 	d := Decision{Kind: End, Reason: s.noServerReason(k, route, now)}
 	if d.Reason != NoServer && p.Retransmits > 0 {
@@ -53,7 +52,7 @@
 	return d
 }
 
-// noServerReason tells why no server of a route may take a flow.
+// noServerReason returns why no server of a route may take a flow.
 func (s *Steerer) noServerReason(k *viewState, route *bronzeroute.Route, now time.Time) (r Reason) {
 	r = NoServer
 	for i := range route.Pools {
@@ -73,8 +72,8 @@
 }
 
 // noneAnswers reports whether all servers that may take a flow of the route are
-// silent, as in a zone that is cut off and has no server of the pool. A caller
-// would wait 1.4 s for nothing with each try.
+// unavailable, as in a partitioned zone without a server of the pool. A caller would wait
+// 1.4 s in vain with each try.
 func (s *Steerer) noneAnswers(k *viewState, route *bronzeroute.Route, at time.Duration) bool {
 	for i := range route.Pools {
 		share := &route.Pools[i]
@@ -90,8 +89,8 @@
 	return true
 }
 
-// isExempt reports whether the opening is one of the few of its endpoint that are
-// not turned away.
+// isExempt reports whether the opening is one of those of its endpoint that are never
+// refused by load.
 func (s *Steerer) isExempt(route *bronzeroute.Route, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,8 +102,8 @@
 	return l.AllowN(now, 1)
 }
 
-// removeExemptLimits drops what is counted of endpoints that have no route; the caller
-// holds the lock.
+// removeExemptLimits removes the limiters of endpoints without a route. The caller holds
+// the lock.
 func (s *Steerer) removeExemptLimits(v *bronzeroute.View) {
 	for service := range s.exemptLimits {
 		if v.Route(service) == nil {
--- a/bronzesteer/shed.go
+++ b/bronzesteer/shed.go
@@ -7,51 +7,51 @@
 )
 
 const (
-	// shedStart and shedFull bound, as parts of the objective of the route's
-	// requests, the time that the requests at work in a pool will take, between
-	// which more and more new flows are turned away: from none to all.
+	// As the time that the requests in flight in a pool will take rises from shedStart to
+	// shedAll times the objective of the route, the fraction of new flows that is refused
+	// rises from 0 to 1.
 	//
-	// When more callers come than servers can serve, all queues fill and stay
-	// full: as many answers are given as ever, but nearly all of them late. Turning
-	// some away keeps the others in time. Begun sooner, it fails callers who would
-	// have been served, if late.
+	// Without shedding, all queues fill and stay full under overload: as many requests are
+	// answered as ever, but nearly all too late. Refusing some keeps the others in time.
+	// Starting earlier would refuse callers that would have been served, if late.
 	shedStart = 1.0
 	shedAll   = 1.2
-	// unqueuedUtilization is the part of a server's slots up to which its answers show what
-	// the work itself takes, and servicePart the weight of one of them.
+	// unqueuedUtilization is the utilization up to which a server's answer times show the
+	// service time alone, serviceTimeWeight the weight of one sample.
 	unqueuedUtilization = 0.7
 	serviceTimeWeight   = 0.02
-	// minPromptAcks is the part of a service's answers that must show by themselves for one
-	// that doesn't to be missing, and shownPart the weight of one of them.
+	// minPromptAcks is the fraction of a pool's answers that must be acknowledged promptly
+	// for a missing acknowledgement to mean a missing answer, promptAckWeight the weight of
+	// one sample.
 	minPromptAcks   = 0.8
 	promptAckWeight = 0.05
 )
 
-// poolStats is what is known of a pool's servers together: how long they work on
-// a request, without the time that it waits for a slot, and how many of this
-// node's requests they have. All methods may be called concurrently.
+// poolStats holds the statistics of a pool's servers: the service time of requests, without
+// waiting for a slot, and the number of this node's requests in flight. All methods may be
+// called concurrently.
 type poolStats struct {
 	inFlight atomic.Int64
-	// medianLatency is the median latency of its servers, 0 while none is known. Slow servers,
-	// and those that fail at once, don't change it.
+	// medianLatency is the median latency of the servers, 0 if unknown. Some slow or
+	// fast-failing servers don't change it.
 	medianLatency atomic.Int64
 
 	mu   sync.Mutex
 	mean time.Duration
-	// promptAcks is the part of the answers of late that callers acknowledged by themselves, and
-	// not with their next request.
+	// promptAcks is the fraction of recent answers that callers acknowledged promptly, not
+	// only with their next request.
 	promptAcks float64
 }
 
-// acksPromptly reports whether callers acknowledge answers when they have them, so that a
-// request without an acknowledgement has no answer.
+// acksPromptly reports whether callers acknowledge answers when they receive them, so that
+// a request without an acknowledgement has no answer.
 func (t *poolStats) acksPromptly() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.promptAcks >= minPromptAcks
 }
 
-// recordAck takes in whether an answer was acknowledged by itself.
+// recordAck records whether an answer was acknowledged promptly.
 func (t *poolStats) recordAck(alone bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -62,7 +62,7 @@
 	t.promptAcks += promptAckWeight * (to - t.promptAcks)
 }
 
-// observe takes in what an answer took at a server with free slots.
+// observe records the answer time at a server with free slots.
 func (t *poolStats) observe(took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -73,38 +73,38 @@
 	t.mean += time.Duration(serviceTimeWeight * float64(took-t.mean))
 }
 
-// serviceTime returns the time, 0 if nothing was observed.
+// serviceTime returns the mean service time, 0 if unknown.
 func (t *poolStats) serviceTime() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.mean
 }
 
-// poolInFlight are the requests that a pool has at work. What this node has there shows
-// a surge at once; the rates that nodes tell each other, which are seconds old, show
-// what part of all that is. To go by the answers' delay instead doesn't work: it
-// shows a full queue only when that is behind them, and an empty one likewise,
-// so that all are turned away by turns and none.
+// poolInFlight estimates the requests in flight in a pool. This node's own requests show a
+// surge at once; the rates exchanged between nodes, which are seconds old, show which
+// fraction of all requests these are. The delay of answers can't be used instead: it shows
+// a full queue only once the answers are through it, and an empty one likewise, so that
+// shedding would alternate between all and none.
 type poolInFlight struct {
 	stats *poolStats
-	// nodes is how many nodes there are.
+	// nodes is the number of nodes.
 	nodes float64
-	// own is what this node had at the candidates when counted was the service's
-	// work, and slots how many slots these have.
+	// own is this node's load at the candidates at the time when the pool's inFlight was
+	// counted. slots is the number of their slots.
 	own     float64
 	counted int64
 	slots   float64
-	// ownRate is what this node sends to them, rate what all nodes do, in requests
-	// a second.
+	// ownRate is the rate of this node's requests to the candidates, rate that of all
+	// nodes, in requests per second.
 	ownRate, rate float64
 }
 
-// newPoolInFlight returns a count of what is at work at servers of a service.
+// newPoolInFlight returns an empty estimate for a pool.
 func (s *Steerer) newPoolInFlight(of *poolStats) poolInFlight {
 	return poolInFlight{stats: of, nodes: float64(s.peers.Load() + 1), counted: of.inFlight.Load()}
 }
 
-// add counts a candidate.
+// add adds a candidate to the estimate.
 func (w *poolInFlight) add(c *candidate) {
 	if c.tier <= tierAvoided {
 		return
@@ -115,9 +115,9 @@
 	w.rate += c.rate + c.peerRate
 }
 
-// perSlot returns how many requests there are for each slot. Those that came since
-// the candidates were counted are in it: a count that is some time old lets callers in
-// and turns them away by turns.
+// perSlot returns the number of requests in flight per slot, including those sent since the
+// candidates were counted: an outdated count would alternate between letting all callers in
+// and refusing all.
 func (w *poolInFlight) perSlot() float64 {
 	if w.slots == 0 {
 		return 0
@@ -130,9 +130,8 @@
 	return max(own, 0) * nodes / w.slots
 }
 
-// shedFraction returns the part of new flows that is to be turned away, 0 to 1,
-// where requests will take so long and should take objective. It is 0 where one
-// of them isn't known.
+// shedFraction returns the fraction of new flows to be refused, from 0 to 1, if requests
+// take the given time and the objective is as given. It is 0 if either is unknown.
 func shedFraction(takes, objective time.Duration) float64 {
 	if objective <= 0 {
 		return 0
