--- a/bronzesteer/pause.go
+++ b/bronzesteer/pause.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Discarded is what a node no longer goes by after it stood still.
+// Discarded counts what a node discards after a pause.
 type Discarded struct {
-	// Openings and Requests are those whose answers it waited for, and Findings the
-	// servers that it or others had found silent.
+	// Openings and Requests count those that waited for answers, Findings the servers that
+	// were found silent, here or by peers.
 	Openings int
 	Requests int
 	Findings int
 }
 
-// Paused notes that the node stood still for some time, until now. It couldn't see
-// meanwhile whether a server answered, so that nothing counts as unanswered that was sent
-// before. Otherwise each server that it waited for seems to have been silent for as long
-// as it slept itself; told to a fleet by all that woke together, that ended open flows at
-// servers that answered all the while.
+// Paused tells the Steerer that the process was paused until now. While paused, the node
+// couldn't see whether servers answered, so that nothing sent before counts as unanswered.
+// Otherwise each server that it waited for would seem silent for as long as the pause;
+// reported by many nodes that resume together, that would end open flows at healthy
+// servers.
 //
-// For two seconds from now on it judges no server, and until RecordsConfirmed is called it ends
-// no flow by its records, which may have changed meanwhile: packets that old records say
-// to refuse are dropped, and their callers repeat them.
+// Failure detection is suspended for two seconds from now. Until RecordsConfirmed is
+// called, no flow is ended by the records, which may have changed meanwhile: packets that
+// old records would have refused are dropped, and their callers retransmit them.
 func (s *Steerer) Paused(now time.Time) (aside Discarded) {
 	s.init()
 	at := s.sinceStart(now)
@@ -33,11 +33,12 @@
 	return aside
 }
 
-// RecordsConfirmed notes that the records in force are known to be the newest since Paused.
+// RecordsConfirmed tells the Steerer that the records in force are known to be up to date
+// since Paused.
 func (s *Steerer) RecordsConfirmed() { s.recordsUnconfirmed.Store(false) }
 
-// pause forgets what the shard's flows wait for. Openings are kept: their callers may go
-// on with the server that was asked.
+// discardPending discards what the shard's flows wait for. Unanswered openings stay
+// tracked, since their callers may continue with the server that was tried.
 func (sh *shard) discardPending(aside *Discarded, at time.Duration) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
@@ -55,7 +56,8 @@
 	}
 }
 
-// dropOpening ends the waiting for an opening's answer, which shows nothing any more.
+// dropPending stops waiting for the answer to the flow's opening, which no longer tells
+// anything about the server.
 func (f *flow) dropPending() {
 	if f.pending != nil {
 		f.pending.settled.Store(true)
@@ -63,15 +65,15 @@
 	}
 }
 
-// clear forgets the openings that wait.
+// clear removes all waiting openings.
 func (h *hedgeQueue) clear() {
 	h.mu.Lock()
 	h.waiting = nil
 	h.mu.Unlock()
 }
 
-// forgetFindings forgets what was found of servers, here and elsewhere, and returns how
-// many servers there was something of.
+// discardFindings discards this node's and the peers' findings, and returns the number of
+// servers that had any.
 func (s *Steerer) discardFindings() (n int) {
 	s.mu.Lock()
 	suspects := s.suspects
@@ -96,8 +98,7 @@
 	return n
 }
 
-// forgetFindings forgets what was found of the server, and reports whether there was
-// something.
+// discardFindings discards the findings of the server, and reports whether there were any.
 func (b *backend) discardFindings() (had bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/bronzesteer/warmup.go
+++ b/bronzesteer/warmup.go
@@ -10,44 +10,46 @@
 	"bronzeusher.example/bronzeusher/bronzeroute"
 )
 
-// A server that has just started bears few requests a second, of all nodes together, and
-// nobody counts them. So some nodes of its AvailabilityZone share what it bears, in equal
-// parts: those that come first by a hash of the server and their names. All nodes that know
-// the same names choose the same ones without a word. The others send it nothing while it
-// is cold, and turn callers away if no other server can take them.
+// A server that has just started can take only a few requests per second from all nodes
+// together, which don't coordinate. Therefore a few nodes of its AvailabilityZone share
+// this limit equally: those that come first by a hash of the server's and their own names,
+// so that all nodes with the same names choose the same ones. Other nodes send nothing to a
+// cold server, and refuse openings that no other server can take.
 //
-// Nodes of its own zone reach it whatever zones are cut off from each other. A node that is
-// cut off from the others keeps their names, and so doesn't take their part. One that has
-// just started takes none until it has heard all names, however many there are.
+// Nodes in the server's own zone reach it during any partition between zones. A node that
+// is cut off keeps the names of its peers, so that it doesn't take over their share. One
+// that has just started has no share until it has learned the names of all peers.
 const (
-	// warmupNodes is how many nodes share what a cold server bears. Each may send one at
-	// any moment, all of them in the same second, which has to stay within what the
-	// server is allowed in excess.
+	// warmupSenders is the number of nodes that share the limit of a cold server. All of
+	// them may send one opening at the same moment, which must stay within the excess that
+	// the server is allowed.
 	warmupSenders = 3
-	// warmupPart is the part of it that they share. The rest is for nodes whose names
-	// some haven't heard yet, and for what flows ask that were opened just before.
+	// warmupFraction is the fraction of the limit that is shared. The rest is for nodes
+	// whose names aren't known everywhere yet, and for requests of flows opened just
+	// before.
 	warmupFraction = 0.7
-	// namesSettle is for how long a node must have heard no new name. A node hears some
-	// of them each second, new ones the more rarely the fewer are missing.
+	// peersSettleTime is how long a node must have learned no new name. It learns some of
+	// them each second, new ones more rarely the fewer are missing.
 	peersSettleTime = 5 * time.Second
 )
 
-// nearNodes are the names of the other nodes of this node's zone, those that aren't there
-// any more among them for some minutes. All methods may be called concurrently.
+// zonePeers holds the names of the other nodes in this node's zone. Nodes that have left
+// stay in it for some minutes. All methods may be called concurrently.
 type zonePeers struct {
 	mu    sync.Mutex
 	names []string
-	// known says that the node knows of others, or can't have heard of any.
+	// known is set if the node knows any other node, or there are none to learn of.
 	known bool
-	// grewAt is when a name was last added.
+	// addedAt is when a name was last added.
 	addedAt time.Duration
-	// version counts changes, for what is worked out from the names.
+	// version counts changes, to invalidate what is derived from the names.
 	version uint64
 }
 
-// SetZonePeers tells the names of the other nodes in this node's zone, which the Steerer keeps.
-// Known says that the node has heard of some anywhere, or that there are none to hear of:
-// one that hears nobody can't tell.
+// SetZonePeers sets the names of the other nodes in this node's zone. The Steerer keeps and
+// sorts the slice. The parameter known is set if the node has learned of any other node in
+// any zone, or there are none to learn of: a node that is isolated from the start can't
+// tell.
 func (s *Steerer) SetZonePeers(names []string, known bool, now time.Time) {
 	s.init()
 	n := &s.zonePeers
@@ -67,30 +69,30 @@
 	n.version++
 }
 
-// settled reports whether the node has heard all names, as far as it can know; the caller
+// settled reports whether the node has learned all names, as far as it can tell. The caller
 // holds the lock.
 func (n *zonePeers) settled(at time.Duration) bool {
 	return n.known && at >= n.addedAt+peersSettleTime && at >= peersSettleTime
 }
 
-// isLimited reports whether the server may be given only what a cold one bears. A node that
-// stood still doesn't know which have started meanwhile.
+// isRateLimited reports whether the server may be sent only what a cold server can take.
+// After a pause, the node doesn't know which servers have restarted meanwhile.
 func (s *Steerer) isRateLimited(server *bronzeroute.Server, now time.Time) bool {
 	return server.Warmup.RequestsPerSecond > 0 && (!server.Warm(now) || s.recordsUnconfirmed.Load())
 }
 
-// warmup is this node's part of what a cold server bears.
+// warmup is this node's share of the limit of a cold server.
 type warmup struct {
-	// every is the pause between two openings, 0 if the node has no part, as of version
-	// of the names.
+	// interval is the time between two openings, 0 if the node has no share. It is derived
+	// from the given version of the names, and valid if known is set.
 	interval time.Duration
 	version  uint64
 	known    bool
-	// next is when the server may be sent the next.
+	// nextAt is when the next opening may be sent.
 	nextAt time.Duration
 }
 
-// mayWarm reports whether a cold server may be sent an opening at at.
+// canSendCold reports whether a cold server may be sent an opening at at.
 func (s *Steerer) canSendCold(server *bronzeroute.Server, b *backend, at time.Duration) bool {
 	every := s.coldInterval(server, b, at)
 	b.mu.Lock()
@@ -98,8 +100,8 @@
 	return every > 0 && at >= b.warmup.nextAt
 }
 
-// takeWarm takes the part of an opening that is sent to a cold server; ok is false if none
-// is left.
+// takeColdSend takes one opening from this node's share at a cold server. If ok is false,
+// none is left.
 func (s *Steerer) takeColdSend(server *bronzeroute.Server, b *backend, at time.Duration) (ok bool) {
 	every := s.coldInterval(server, b, at)
 	b.mu.Lock()
@@ -111,8 +113,8 @@
 	return true
 }
 
-// warmupEvery returns the pause between two openings of this node at a cold server, 0 if it
-// is to send none.
+// coldInterval returns the time between two openings of this node at a cold server, 0 if it
+// may send none.
 func (s *Steerer) coldInterval(server *bronzeroute.Server, b *backend, at time.Duration) time.Duration {
 	if server.AvailabilityZone != s.AvailabilityZone {
 		return 0
@@ -132,7 +134,7 @@
 	return w.interval
 }
 
-// every works out the pause between two openings of the node of a name.
+// sendInterval computes the time between two openings of the named node.
 func (n *zonePeers) sendInterval(server *bronzeroute.Server, name string) time.Duration {
 	own := warmupRank(server, name)
 	before := 0
@@ -148,7 +150,7 @@
 	return time.Duration(float64(nodes) / (warmupFraction * server.Warmup.RequestsPerSecond) * float64(time.Second))
 }
 
-// warmupRank is a node's place in the order of those that may send to a cold server.
+// warmupRank returns the rank of a node among those that may send to a cold server.
 func warmupRank(server *bronzeroute.Server, name string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
