--- a/bronzesteer/avoid.go
+++ b/bronzesteer/avoid.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// avoids reports whether new flows keep away from the server.
+// avoids reports whether new flows are kept away from the server.
 func (s *Steerer) avoids(b *backend, at time.Duration) bool {
 	return b.avoided(at) || s.zoneUnreachable(b, at)
 }
@@ -13,9 +13,10 @@
 	return at < b.avoidUntil
 }
 
-// avoidAsOthersDo keeps new flows away from a server that has left another node's
-// opening unanswered, and reports whether that begins; the caller holds the lock. That
-// takes weak evidence: it costs the server some new flows, and they have others to go to.
+// avoidForPeer keeps new flows away from a server that has left a peer's opening
+// unanswered, and reports whether that begins now. The caller holds the lock. Weak evidence
+// suffices: avoiding the server costs it only some new flows, and these have other servers
+// to go to.
 func (b *backend) avoidForPeer(f finding, at time.Duration) (e Event, begins bool) {
 	until := f.last + minAvoidTime
 	if f.openings == 0 || until <= max(at, b.avoidUntil) {
--- a/bronzesteer/backend.go
+++ b/bronzesteer/backend.go
@@ -8,22 +8,22 @@
 	"bronzeusher.example/bronzeusher/bronzeroute"
 )
 
-// backend is what this node has seen of one start of a server. Times are
-// distances from the Steerer's start.
+// backend is what this node has observed of one start of a server. Times are relative to
+// the Steerer's start.
 type backend struct {
 	instance string
 	zoneName string
 	zone     *zone
 	stats    *poolStats
 	slots    int
-	// shortID stands for the server between nodes.
+	// shortID identifies the server in messages between nodes.
 	shortID uint32
-	// startedAt is when the server started, the zero time if it doesn't tell, and next
-	// what is seen of its next start once there is one.
+	// startedAt is when the server started, the zero time if unknown. successor is the
+	// entry of the server's next start, once there is one.
 	startedAt time.Time
 	successor atomic.Pointer[backend]
 
-	// The lock guards what follows, each subject in a type of its own.
+	// mu guards the following fields, which are grouped by subject.
 	mu sync.Mutex
 	serverLoad
 	latencyStats
@@ -32,7 +32,7 @@
 	warmup warmup
 }
 
-// newBackend returns the entry of a server that is new.
+// newBackend returns the entry for a new server.
 func (s *Steerer) newBackend(server *bronzeroute.Server) *backend {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,8 +43,7 @@
 	}
 }
 
-// statsOf returns what is known of a pool's servers together; the caller holds
-// the lock.
+// statsOf returns the statistics of a pool. The caller holds the lock.
 func (s *Steerer) statsOf(pool string) *poolStats {
 	t := s.poolStats[pool]
 	if t == nil {
@@ -54,7 +53,7 @@
 	return t
 }
 
-// removeUnrouted drops what is known of endpoints and pools that are no more.
+// removeUnrouted removes the state of endpoints and pools that no longer exist.
 func (s *Steerer) removeUnrouted(k *viewState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/bronzesteer/viewstate.go
+++ b/bronzesteer/viewstate.go
@@ -7,23 +7,23 @@
 	"bronzeusher.example/bronzeusher/bronzeroute"
 )
 
-// viewState is a view with what this node has seen of its servers.
+// viewState is a view with the state of its servers.
 type viewState struct {
 	view *bronzeroute.View
-	// members are all servers of the view, by name.
+	// members holds all servers of the view, sorted by name.
 	members []member
 	pools   map[string]*pool
 }
 
-// member is a server, and what this node has seen of it.
+// member is a server of the view with its state.
 type member struct {
 	server  *bronzeroute.Server
 	backend *backend
 }
 
-// newViewState returns a view with what is known of its servers, which is what the
-// former view had of them. Where thousands of servers are known and a few change
-// several times a second, only these cost more than a comparison.
+// newViewState returns a view with the state of its servers, taken over from the former
+// view. With thousands of servers of which a few change several times per second, the
+// others cost no more than a comparison.
 func (s *Steerer) newViewState(v *bronzeroute.View, former *viewState) *viewState {
 	if former == nil {
 		former = &viewState{}
@@ -31,7 +31,7 @@
 	k := &viewState{view: v, members: make([]member, len(v.Servers)), pools: make(map[string]*pool)}
 	at := 0
 	for i, server := range v.Servers {
-		// Most didn't change: they aren't even read.
+		// Most servers are unchanged, and aren't even read.
 		if at < len(former.members) && former.members[at].server == server {
 			k.members[i] = former.members[at]
 			at++
@@ -56,8 +56,7 @@
 	return k
 }
 
-// buildPools makes the pools in which something changed, and takes over the
-// others.
+// buildPools builds the pools that have changed, and reuses the others.
 func (s *Steerer) buildPools(k, former *viewState) {
 	changed := make(map[string]*pool)
 	k.view.EachPool(func(name string, servers []*bronzeroute.Server) {
@@ -89,7 +88,7 @@
 	}
 }
 
-// removeFromZone takes a server out of its zone that is in no view any more.
+// removeFromZone removes from its zone a server that is gone or no longer in the view.
 func (m member) removeFromZone() {
 	if m.server.Status != bronzeroute.Gone {
 		m.backend.zone.addServers(-1)
@@ -97,8 +96,8 @@
 	m.backend.zone.remove(m.backend)
 }
 
-// updateMember returns the member as its server now is. What was seen of a server belongs
-// to its start: one that has started again is as new.
+// updateMember returns the member with the new server record. State belongs to one start of
+// a server: a restarted server begins without any.
 func (s *Steerer) updateMember(m member, server *bronzeroute.Server) member {
 	if !m.server.StartedAt.IsZero() && server.StartedAt.After(m.server.StartedAt) {
 		now := member{server: server, backend: s.newBackend(server)}
@@ -126,8 +125,8 @@
 	return nil
 }
 
-// backendOf returns what is known of a server of the view; f is the flow whose
-// server it may be, or nil.
+// backendOf returns the state of a server of the view. f is the flow that may have it
+// already, or nil.
 func (k *viewState) backendOf(server *bronzeroute.Server, f *flow) *backend {
 	if f != nil && f.backend.instance == server.Instance && f.backend.successor.Load() == nil {
 		return f.backend
--- a/bronzesteer/zone.go
+++ b/bronzesteer/zone.go
@@ -6,25 +6,27 @@
 	"time"
 )
 
-// zone is what this node has seen of the servers of an availability zone.
+// zone is what this node has observed of the servers of an AvailabilityZone.
 type zone struct {
-	// goodAt is when one of them was last seen to answer, since the start.
+	// answeredAt is when any of the servers was last seen to answer, relative to the
+	// Steerer's start.
 	answeredAt atomic.Int64
 
 	mu sync.Mutex
-	// silent are those that have been silent since, with when they last left
-	// something unanswered, and quiet those that are now.
+	// silentSinceAnswer holds the servers found silent since any server of the zone
+	// answered, with the time of the last finding. silentNow holds those that haven't
+	// answered themselves since.
 	silentSinceAnswer map[*backend]time.Duration
 	silentNow         map[*backend]time.Duration
-	// servers is how many there are.
+	// servers is the number of servers.
 	servers int
-	// handshake is the mean time that their answers to openings take, 0 if none is
-	// known, and deviation how far off it they are on average.
+	// handshakeTime is the mean time that the servers take to answer openings, 0 if
+	// unknown, and deviation the mean deviation from it.
 	handshakeTime time.Duration
 	deviation     time.Duration
 }
 
-// zone returns the entry of a zone; the caller holds the lock.
+// zone returns the entry of a zone. The caller holds the lock.
 func (s *Steerer) zone(name string) *zone {
 	z := s.zones[name]
 	if z == nil {
@@ -34,14 +36,14 @@
 	return z
 }
 
-// count adds servers of the zone, or takes some away.
+// addServers adds n to the number of servers. n may be negative.
 func (z *zone) addServers(n int) {
 	z.mu.Lock()
 	z.servers += n
 	z.mu.Unlock()
 }
 
-// forget drops a server that is gone.
+// remove removes a server that is gone.
 func (z *zone) remove(b *backend) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -49,7 +51,7 @@
 	delete(z.silentNow, b)
 }
 
-// good notes that a server of the zone answers.
+// recordAnswer records that a server of the zone answers.
 func (z *zone) recordAnswer(b *backend, at time.Duration) {
 	z.answeredAt.Store(int64(at))
 	z.mu.Lock()
@@ -58,14 +60,14 @@
 	z.mu.Unlock()
 }
 
-// addSilent notes that a server of the zone is silent.
+// addSilent records that a server of the zone is silent.
 func (z *zone) addSilent(b *backend, at time.Duration) {
 	z.mu.Lock()
 	z.silentSinceAnswer[b], z.silentNow[b] = at, at
 	z.mu.Unlock()
 }
 
-// recent counts the servers that have left something unanswered lately.
+// countRecent counts the servers whose last finding is recent.
 func countRecent(silent map[*backend]time.Duration, at time.Duration) (n int) {
 	for _, last := range silent {
 		if at-last < silenceMaxAge {
@@ -75,8 +77,8 @@
 	return n
 }
 
-// cut reports whether nobody in the zone has answered for some time and
-// several have left flows unanswered.
+// unreachable reports whether no server of the zone has answered for some time, and several
+// are silent.
 func (z *zone) unreachable(at time.Duration) bool {
 	if at-time.Duration(z.answeredAt.Load()) < minSilence {
 		return false
