--- a/bronzesteer/status.go
+++ b/bronzesteer/status.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// ServerStatus is what a node believes of a server.
+// ServerStatus is the state of a server as seen by one node.
 type ServerStatus struct {
 	Instance         string
 	Pool             string
 	AvailabilityZone string
 	Status           string
-	// Avoided says that new flows keep away from it, Silent that flows there
-	// are ended, too.
+	// Avoided is set if new flows avoid the server, Silent if existing flows are ended,
+	// too.
 	Avoided bool
 	Silent  bool
-	// Flows, Work and Openings are this node's own; Rate is what it sends, and
-	// OthersRate what all other nodes do, in requests a second.
+	// Flows, Work and Openings count this node's open flows, requests in flight and
+	// unanswered openings. Rate is the rate of this node's requests, OthersRate that of all
+	// other nodes, in requests per second.
 	Flows      int
 	Work       int
 	Openings   int
@@ -23,7 +24,7 @@
 	LatencyMS int64
 }
 
-// Servers returns what this node believes of all servers, by name.
+// Servers returns the state of all servers, sorted by name.
 func (s *Steerer) Servers(now time.Time) (list []ServerStatus) {
 	k := s.state.Load()
 	if k == nil {
@@ -45,8 +46,7 @@
 	return list
 }
 
-// FlowsInDrainedZones returns how many open flows this node follows at servers of drained
-// zones.
+// FlowsInDrainedZones returns the number of tracked open flows at servers of drained zones.
 func (s *Steerer) FlowsInDrainedZones() (n int) {
 	k := s.state.Load()
 	if k == nil {
@@ -62,7 +62,7 @@
 	return n
 }
 
-// Flows returns how many flows this node follows.
+// Flows returns the number of tracked flows.
 func (s *Steerer) Flows() (n int) {
 	s.init()
 	for i := range s.shards {
--- a/bronzesteer/tracking.go
+++ b/bronzesteer/tracking.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// maxFlows bounds the flows that are followed, and halfOpenPart is the part of them
-	// that needn't be open: a flood of openings that nobody goes on with takes no more of
-	// the memory. Flows beyond are forwarded all the same; what is lost is their part in
-	// judging servers. Each Customer has a fair part of both, so a flood to one doesn't
-	// blind the node for others.
+	// maxFlows bounds the tracked flows, and halfOpenFraction is the fraction of them that
+	// may be half-open, which bounds the memory used by a flood of openings. Flows beyond
+	// the limits are still forwarded, but don't contribute to failure detection. Each
+	// Customer has a fair share of both limits, so that a flood to one doesn't blind the
+	// node for others.
 	maxFlows         = 400_000
 	halfOpenFraction = 0.125
-	// flowMemoryFraction is the part of a node's memory that flows may take, and flowBytes what
-	// one takes. A node whose memory is full is ended, and all its flows are with it.
+	// flowMemoryFraction is the fraction of the node's memory that flows may use, flowBytes
+	// the size of one. A node that runs out of memory is killed, with all its flows.
 	flowMemoryFraction = 0.35
 	flowBytes          = 256
 )
 
-// flowLimit returns how many flows a node with so many bytes of memory follows; 0 says that
-// the memory isn't known.
+// flowLimit returns how many flows a node with the given memory in bytes tracks. The memory
+// is 0 if unknown.
 func flowLimit(memory int64) int {
 	if memory <= 0 {
 		return maxFlows
@@ -29,7 +29,7 @@
 	return int(min(flowMemoryFraction*float64(memory)/flowBytes, maxFlows))
 }
 
-// account is what the flows of one endpoint use of the node.
+// account counts the tracked flows of one endpoint.
 type account struct {
 	service bronzeconf.Service
 	use     *bronzepool.Account
@@ -52,8 +52,8 @@
 	return a.use
 }
 
-// removeAccounts drops the accounts of endpoints that have no route; the caller
-// holds the lock.
+// removeAccounts removes the accounts of endpoints without a route. The caller holds the
+// lock.
 func (s *Steerer) removeAccounts(v *bronzeroute.View) {
 	for endpoint, a := range s.accounts {
 		if v.Route(endpoint) == nil {
