--- a/bronzesteer/failure_test.go
+++ b/bronzesteer/failure_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// atFirst returns the clients whose flows are at server a-0, and the others.
+// splitAtFirstServer returns the clients with flows at server a-0, and the others.
 func splitAtFirstServer(clients []*client) (there, elsewhere []*client) {
 	for _, c := range clients {
 		if c.server.Instance == "a-0" {
@@ -20,7 +20,7 @@
 	return there, elsewhere
 }
 
-// load opens n flows and has each answered.
+// serveN opens n flows with one answered request each.
 func (s *site) serveN(n int, service netip.AddrPort) (clients []*client) {
 	for range n {
 		clients = append(clients, s.serve(service))
@@ -28,8 +28,8 @@
 	return clients
 }
 
-// fallSilent has the clients ask a server that answers nobody, while others
-// are answered elsewhere.
+// stopAnswering has the clients send requests that aren't answered, while others are
+// answered elsewhere.
 func (s *site) stopAnswering(stuck, others []*client) {
 	for _, c := range stuck {
 		c.request()
@@ -40,9 +40,9 @@
 	}
 }
 
-// A server falls silent. Its callers ask again after 200 ms and would go on
-// until their deadline. They see a reset instead, at their next packet, and
-// are served by another server; a new caller isn't sent to the silent one.
+// A server stops answering. Its callers would retransmit until their deadline; they must
+// get a reset at their next packet, so that they are served elsewhere, and new flows must
+// avoid the server.
 func TestFailedServerIdempotentFlowsReset(t *testing.T) {
 	s := newSite(t, 4)
 	clients := s.serveN(16, live)
@@ -64,8 +64,8 @@
 	}
 }
 
-// The same, but the requests must not be repeated. A reset would end them for
-// good, and the server may have run them: the flow is left alone.
+// Requests that must not be retried are lost by a reset, and the failed server may have run
+// them. Such flows are kept.
 func TestFailedServerNonIdempotentFlowsKept(t *testing.T) {
 	s := newSite(t, 4)
 	stuck, others := splitAtFirstServer(s.serveN(16, outline))
@@ -79,8 +79,7 @@
 	}
 }
 
-// A single packet of a flow is lost, and its caller asks again. The server
-// answers others meanwhile, so nothing is wrong with it.
+// Lost packets of single flows must not make a server fail that answers others meanwhile.
 func TestServerNotFailedByLostPackets(t *testing.T) {
 	s := newSite(t, 2)
 	clients := s.serveN(12, live)
@@ -98,8 +97,8 @@
 	}
 }
 
-// The node itself is late: its link is full, and callers of all servers ask
-// again. Ending their flows would break hundreds that are well.
+// The node's own link is full, and callers of nearly all servers retransmit. Ending their
+// flows would break healthy ones.
 func TestDelayedNodeKeepsFlows(t *testing.T) {
 	s := newSite(t, 4)
 	clients := s.serveN(16, live)
@@ -116,11 +115,9 @@
 	}
 }
 
-// Zone b is cut off from this node, and its servers fall silent; callers are
-// sent to those of zone a at once. Six seconds later the cut is healed, and
-// callers whose flows are in zone b, and that were served by another node, come
-// to this one. It heard nothing of zone b since, good or bad: what it last saw
-// must not end their flows.
+// Zone b is unreachable for a while, and its servers are found silent. Six seconds after
+// the partition has healed, callers with flows in zone b come to this node, which has had
+// no traffic to the zone since. Its old findings must not end their flows.
 func TestZonePartitionRecovery(t *testing.T) {
 	s := newSite(t, 4, 4)
 	own := s.serveN(8, live)
@@ -148,7 +145,7 @@
 	}
 }
 
-// farFlows returns flows at the servers of zone b that another node placed.
+// zoneBFlows returns flows at servers of zone b that another node has placed.
 func (s *site) zoneBFlows(n int) (clients []*client) {
 	v := s.node.View()
 	for i := range n {
@@ -163,9 +160,9 @@
 	return clients
 }
 
-// Two servers of zone b crash, and this node sends little to the zone. It looks
-// like a cut of the zone, but a third server of it is well, and its caller asks
-// for the first time in a while: the flow must go on.
+// Two servers of zone b crash, and this node sends little to the zone. That looks like a
+// partition, but the flow of a healthy server, whose caller sends its first request in a
+// while, must be kept.
 func TestZoneReachableWithTwoCrashes(t *testing.T) {
 	s := newSite(t, 4, 4)
 	own := s.serveN(8, live)
@@ -191,10 +188,9 @@
 	}
 }
 
-// A server crashes, and a caller has a flow there whose requests must not be
-// repeated, with none at work. Its next request would be lost. The flow is ended
-// before, so that the caller opens another one; a flow with a request at work is
-// left alone, because only the server knows whether it ran.
+// A server crashes that has idle flows whose requests must not be retried. The next request
+// of each would be lost, so that they are ended. A flow with a request in flight is kept,
+// since only the server knows whether the request ran.
 func TestFailedServerIdleFlowsReset(t *testing.T) {
 	s := newSite(t, 4)
 	idle, _ := splitAtFirstServer(s.serveN(8, outline))
--- a/bronzesteer/fleet_test.go
+++ b/bronzesteer/fleet_test.go
@@ -9,13 +9,13 @@
 	"pgregory.net/rapid"
 )
 
-// fleet is some nodes that tell each other of servers, each with callers of its own.
+// fleet is several nodes that exchange reports, each with callers of its own.
 type fleet struct {
 	sites []*site
-	// flows are those that callers have open at each node, at all servers.
+	// flows holds the callers' open flows of each node, at all servers.
 	flows  [][]*client
 	random *rand.Rand
-	// liars is how many of them, the last, say what they like.
+	// faulty is the number of nodes, the last ones, that send arbitrary reports.
 	faulty int
 }
 
@@ -36,11 +36,11 @@
 	return f
 }
 
-// honest are the nodes that tell what they see.
+// correct returns the nodes that report what they observe.
 func (f *fleet) correct() []*site { return f.sites[:len(f.sites)-f.faulty] }
 
-// step lets some time pass, in which each node serves a new caller and one that it knows,
-// and tells three others what is new.
+// step lets some time pass in which each node serves a new flow and an existing one, and
+// sends new reports to three others.
 func (f *fleet) step(lies func() []Report) {
 	for i, s := range f.sites {
 		s.serve(live)
@@ -57,9 +57,9 @@
 	}
 }
 
-// Whatever a minority of nodes says of servers, for as long as it likes and to whomever, no
-// flow is ended at a server that answers the others' callers, of the others' flows. What
-// they say may keep some new flows away from it.
+// Whatever a minority of nodes reports, for however long and to whomever, no other node's
+// flow is ended at a server that answers the others' callers. New flows may avoid the
+// server.
 func TestFaultyMinorityKeepsFlows(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		nodes := rapid.IntRange(smallFleetPeers+2, 24).Draw(r, "Nodes")
--- a/bronzesteer/hang_test.go
+++ b/bronzesteer/hang_test.go
@@ -8,18 +8,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// callers are clients that come one after the other, each with one request, before servers
-// one of which hangs: it accepts openings, takes requests, and answers none.
+// callers are clients that arrive one after the other, each with one request, at servers
+// one of which hangs: it accepts openings and requests, but doesn't answer.
 type callers struct {
 	*site
 	hanging string
-	// late says that answers are acknowledged only with the next request.
+	// lateAcks means that answers are acknowledged only with the next request.
 	lateAcks bool
 	waiting  []*client
 	byName   map[string]int
 }
 
-// come has some callers open a flow and ask, and those answered 60 ms ago acknowledge it.
+// arrive has n callers open a flow and send a request. Answers are acknowledged after 60
+// ms.
 func (c *callers) arrive(n int) {
 	for range n {
 		client, d := c.open(live)
@@ -56,10 +57,10 @@
 	return c
 }
 
-// A server hangs with its requests while it accepts openings at once. The caller of each
-// waits for nothing until its deadline: the host has acknowledged the data, so that it isn't
-// sent again, and the node forgets the request after a moment. The server then has nothing
-// to do, as it seems, and gets its part of the callers and more.
+// A server accepts openings at once but hangs on all requests. It acknowledges the data, so
+// that callers don't retransmit it, and the node stops counting each request as in flight
+// after a moment. The server must not look idle and attract more than its share of the
+// flows.
 func TestHangingServerGetsLess(t *testing.T) {
 	c := newCallers(t)
 	c.hanging = "a-0"
@@ -70,7 +71,7 @@
 	require.Empty(t, c.endings, "nothing is ended for it")
 }
 
-// It is well again. What counted against it fades, and it gets its part.
+// Once the server answers again, its penalty must decay until it gets its share.
 func TestHangingServerRecovers(t *testing.T) {
 	c := newCallers(t)
 	c.hanging = "a-0"
@@ -82,8 +83,8 @@
 	require.GreaterOrEqual(t, c.byName["a-0"], 10)
 }
 
-// Callers acknowledge answers only with their next request, so that each seems to be
-// missing for as long as its caller has nothing to ask. No server counts as slow for it.
+// If callers acknowledge answers only with their next request, each answer seems to be
+// missing until then. No server may count as slow for it.
 func TestDelayedAcksNotOverdue(t *testing.T) {
 	c := newCallers(t)
 	c.lateAcks = true
--- a/bronzesteer/pause_test.go
+++ b/bronzesteer/pause_test.go
@@ -8,13 +8,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// sleep lets time pass in which the node doesn't run.
+// pause advances the clock without running the node.
 func (s *site) pause(d time.Duration) (aside Discarded) {
 	s.now = s.now.Add(d)
 	return s.node.Paused(s.now)
 }
 
-// told returns what the node tells of servers that it found silent.
+// reportedFindings returns the findings that the node reports.
 func (s *site) reportedFindings() (findings []Report) {
 	for _, r := range s.node.Reports(true, s.now) {
 		if !r.Answered {
@@ -24,11 +24,10 @@
 	return findings
 }
 
-// A node of a large fleet stands still for five seconds. Three callers wait for the
-// acceptance of their openings, three for answers; all go elsewhere meanwhile, but for one
-// that asks again when the node has woken. The servers have answered other nodes all the
-// while. The node that woke tells nobody that they are silent, sends none of the openings
-// on, and ends no flow at any of them.
+// A node of a large fleet is paused for five seconds while three callers wait for
+// acceptances and three for answers. All but one go elsewhere meanwhile, and the servers
+// answer other nodes. After the pause the node must not report any server, send any hedge
+// or end any flow.
 func TestPausedNodeReportsNothing(t *testing.T) {
 	s := newSite(t, 6)
 	s.node.SetPeerCount(294)
@@ -54,8 +53,7 @@
 	require.Equal(t, Forward, idle[0].request().Kind)
 }
 
-// The same node judges servers again two seconds after it woke: one that crashed meanwhile
-// is found, and told of.
+// Two seconds after a pause, the node detects failures again.
 func TestPausedNodeResumesDetection(t *testing.T) {
 	s := newSite(t, 6)
 	s.node.SetPeerCount(294)
@@ -72,9 +70,8 @@
 	require.NotEmpty(t, s.reportedFindings())
 }
 
-// Findings that a node had from others before it stood still are as old as the pause when
-// it wakes, and the servers may have answered since. It neither passes them on nor goes by
-// them.
+// Findings received before a pause are outdated afterwards, since the servers may have
+// answered meanwhile. The node must neither pass them on nor act on them.
 func TestPausedNodeDiscardsFindings(t *testing.T) {
 	s := newSite(t, 6)
 	s.node.SetPeerCount(294)
@@ -93,10 +90,10 @@
 	require.Empty(t, s.endings)
 }
 
-// A server disappears from the records, and comes back while the node stands still. The
-// node doesn't know that yet when a packet of an open flow comes: its caller isn't reset,
-// and repeats the packet a moment later. Once the records are confirmed, a flow of a server
-// that is gone is ended as ever.
+// A server that is missing from the node's records may have been registered again during
+// the pause. Until the records are confirmed, packets of its flows are dropped rather than
+// reset, and callers retransmit them. Afterwards flows of a server that is gone are ended
+// as usual.
 func TestPausedNodeUnconfirmedRecords(t *testing.T) {
 	s := newSite(t, 3)
 	there, _ := splitAtFirstServer(s.serveN(9, live))
@@ -120,9 +117,9 @@
 	require.NotEmpty(t, s.endings)
 }
 
-// A node had nothing to run on for a while. A caller's opening waited in its socket with
-// both of its copies, and is read with them; the caller has gone elsewhere and goes on with
-// no server. None of them is asked twice, avoided or told of.
+// A delayed node reads an opening from its socket together with both retransmissions. Its
+// caller has given up and continues with no server. No server may be avoided or reported
+// for it, and none is tried twice.
 func TestDelayedRetransmitsNotCounted(t *testing.T) {
 	s := newSite(t, 3)
 	s.node.SetPeerCount(294)
@@ -139,8 +136,8 @@
 	require.Empty(t, s.reportedFindings())
 }
 
-// One node of a large fleet says that all servers are silent: it is its own link or
-// processor that is. New flows keep away from a tenth of them at most.
+// If a single node of a large fleet reports all servers as silent, its own link or
+// processor is the cause. New flows avoid a tenth of the servers at most.
 func TestReportLimitPerNode(t *testing.T) {
 	const servers = 100
 	s := newSite(t, servers)
@@ -159,8 +156,8 @@
 	require.LessOrEqual(t, avoided, servers*1/10)
 }
 
-// News takes a step more for each fourfold size of the fleet, and as many back for what
-// contradicts it.
+// Propagation takes one step more for each fourfold size of the fleet, and as many steps
+// back for contradicting answers.
 func TestPropagationTime(t *testing.T) {
 	var s Steerer
 	for others, want := range map[int]time.Duration{
--- a/bronzesteer/probe_test.go
+++ b/bronzesteer/probe_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newIdleSite returns a site whose node, one of many, has some idle flows at server a-0.
+// newIdleSite returns a site whose node is part of a large fleet and has some idle flows at
+// server a-0.
 func newIdleSite(t *testing.T) (s *site, idle []*client) {
 	t.Helper()
 	s = newSite(t, 6)
@@ -19,8 +20,8 @@
 	return s, idle
 }
 
-// findDead has two nodes of the server's zone tell that it leaves all unanswered, until
-// this node has the opening of a caller go there, and returns that caller.
+// reportUntilProbed has two nodes of the server's zone report it as silent until this node
+// probes it with a caller's opening, and returns that caller.
 func (s *site) reportUntilProbed(instance string) *client {
 	s.t.Helper()
 	told := s.now
@@ -38,10 +39,9 @@
 	return nil
 }
 
-// A server has crashed, and two other nodes of a large fleet find it out. This node has
-// only idle flows there, whose callers would lose their next request. The opening of a
-// caller tries the server and goes on to another one at once; when no answer has come, the
-// idle flows are ended.
+// A server has crashed, and two peers in a large fleet report it. This node has only idle
+// flows there, whose next requests would be lost. A caller's opening must probe the server
+// and be hedged soon; without an answer, the idle flows are ended.
 func TestProbeConfirmsFailure(t *testing.T) {
 	s, idle := newIdleSite(t)
 	s.reportUntilProbed("a-0")
@@ -62,9 +62,9 @@
 	}
 }
 
-// What the two nodes say is wrong: their packets are late. The server accepts the opening
-// that tries it, and no flow is ended, however long they go on; other nodes are told that
-// it answers.
+// The peers' findings are wrong because their packets are delayed. The server answers the
+// probe: no flow may be ended, however long the peers repeat their findings, and they are
+// told that the server answers.
 func TestProbeAnsweredKeepsFlows(t *testing.T) {
 	s, _ := newIdleSite(t)
 	tries := s.reportUntilProbed("a-0")
@@ -81,9 +81,8 @@
 	require.Empty(t, s.endings)
 }
 
-// A server is well, and one packet of another node's was lost; both openings that try the
-// server from here are, too, as packets may be. That is too little to end flows, however
-// long nothing else is heard: the next opening is answered.
+// A peer and this node's two probes have each lost a packet to a healthy server. That is
+// too little evidence to end flows, however long nothing else is known.
 func TestProbesAndOneReportKeepFlows(t *testing.T) {
 	s, _ := newIdleSite(t)
 	told := s.peerReport("a-0", 7, 1, 20*time.Millisecond)
--- a/bronzesteer/report_test.go
+++ b/bronzesteer/report_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// overdue opens flows until one meets the given server, and lets it be overdue there.
+// openAt opens flows until one is placed on the given server, and leaves its opening
+// unanswered.
 func (s *site) openAt(instance string) *client {
 	s.t.Helper()
 	for range 50 {
@@ -24,15 +25,15 @@
 	return nil
 }
 
-// found returns what another node tells of a server.
+// peerReport returns the report of a server by another node.
 func (s *site) peerReport(instance string, node uint32, openings int, first time.Duration) Report {
 	return Report{
 		Server: s.node.backend(instance).shortID, Node: node, SameZone: true, Openings: openings, Requests: 1, First: first,
 	}
 }
 
-// serveBut opens a flow and has one request answered, unless it is sent to a server that
-// answers nobody: then nothing comes back.
+// serveExcept opens a flow and has one request answered, unless it is placed on the given
+// server, which answers nobody. Then it opens another flow.
 func (s *site) serveExcept(dead string) {
 	s.t.Helper()
 	c, d := s.open(live)
@@ -51,10 +52,9 @@
 	return k.backendOf(k.view.ByName(instance), nil)
 }
 
-// The link of one of many nodes is full, with uploads of other callers, so that what is
-// sent through it comes a quarter of a second late. Three openings at a server are
-// repeated by their callers before its acceptances come through. Other nodes are served
-// by it all the while, and a caller has an idle flow there, which isn't ended.
+// In a large fleet, the link of one node is full, so that its packets are a quarter of a
+// second late. Callers retransmit three openings at a server before its acceptances arrive,
+// while the server answers other nodes. An idle flow there must not be ended.
 func TestCongestedNodeKeepsFlows(t *testing.T) {
 	s := newSite(t, 4)
 	s.node.SetPeerCount(65)
@@ -78,10 +78,9 @@
 	require.Empty(t, s.endings)
 }
 
-// A node has a full link for some seconds. Twice it finds a server silent whose answer then
-// comes. What it finds after that is no better: three flows at another server are left
-// unanswered for as long as it would take to end flows there, and none is ended, nor do
-// other nodes hear of it.
+// A node with a full link twice finds a server silent that then answers. Its further
+// findings are no better: although three flows at another server are unanswered long
+// enough, none may be ended there and nothing reported.
 func TestFalseSuspicionsSuspendDetection(t *testing.T) {
 	s := newSite(t, 4)
 	idle, _ := splitAtFirstServer(s.serveN(16, outline))
@@ -108,11 +107,10 @@
 	}
 }
 
-// A server has crashed. Of many nodes each sends it little: this one has a request
-// unanswered, another node three openings. New flows keep away from the server as soon as
-// the other node tells. When news that contradicts it would have come from any node, that
-// is enough: the caller of a request that may be repeated is told at once, and so are those
-// of idle flows, long before this node alone could know.
+// A server has crashed in a large fleet, where each node sends it little: this node has one
+// request unanswered, a peer three openings. New flows must avoid the server on the peer's
+// report. Once contradicting answers would have arrived, the flow of a request that may be
+// retried and the idle flows are ended, long before this node could decide alone.
 func TestReportsConfirmFailure(t *testing.T) {
 	s := newSite(t, 6)
 	s.node.SetPeerCount(65)
@@ -142,8 +140,8 @@
 	}
 }
 
-// The same findings, but a third node has been answered since: the server is slow, or the
-// links of two nodes are full. No flow is ended, and new flows go there again.
+// The same, but another peer has since been answered: the server is slow, or the links of
+// two nodes are full. No flow may be ended, and new flows use the server again.
 func TestReportsAnswerClearsServer(t *testing.T) {
 	s := newSite(t, 6)
 	s.node.SetPeerCount(65)
@@ -164,8 +162,8 @@
 	require.False(t, s.status("a-0").Avoided)
 }
 
-// Two nodes of other zones can't reach the servers of zone b, which is cut off from
-// theirs, and this node's way there is fine. Its callers' idle flows there go on.
+// Nodes of other zones can't reach zone b, but this node can. Their findings must not end
+// idle flows there.
 func TestReportsFromOtherZonesKeepFlows(t *testing.T) {
 	s := newSite(t, 4, 4)
 	s.node.SetPeerCount(5)
@@ -185,9 +183,8 @@
 	require.Empty(t, s.endings)
 }
 
-// Reports go from node to node, each with its age, and stop: what is no news isn't passed
-// on, and after suspicionFor nothing is left to tell. Without an end, the findings of a
-// fleet would go round in it for good.
+// Reports are passed on between nodes only while they are new, and expire after
+// suspicionTimeout. Otherwise findings would circulate in a fleet forever.
 func TestReportsExpire(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		s := newSite(t, 4)
@@ -209,10 +206,9 @@
 	})
 }
 
-// A link is full for some milliseconds, and an opening that went out by it is overdue; the
-// answer comes 40 ms later. Nothing of that is told: all nodes would tell each other of
-// each such moment, and again that it was nothing. A server that stays silent is told of
-// after a tenth of a second.
+// While a link is full for some milliseconds, an opening is overdue and then answered 40 ms
+// later. That must not be reported, or all nodes would report each such moment and then the
+// opposite. A server that stays silent is reported after reportDelay.
 func TestReportsShortDelays(t *testing.T) {
 	s := newSite(t, 3)
 	s.node.SetPeerCount(65)
--- a/bronzesteer/restart_test.go
+++ b/bronzesteer/restart_test.go
@@ -9,7 +9,7 @@
 	"bronzeusher.example/bronzeusher/bronzeroute"
 )
 
-// start registers a start of the server that is given.
+// registerStart registers a start of the given server.
 func (s *site) registerStart(server *bronzeroute.Server, born time.Time) {
 	again := *server
 	again.StartedAt = born
@@ -17,11 +17,9 @@
 	s.node.SetView(s.directory.View())
 }
 
-// A server crashes and starts again under its name; its address answers as before. A
-// caller has a flow there, idle, whose requests must not be repeated: it would learn
-// only with its next request that the flow is no more, and that one would be lost. It
-// is told before. A caller whose flow was opened when the new start was there, before
-// its registration came, keeps it.
+// A server crashes and restarts with the same name and address. A caller with an idle flow
+// whose requests must not be retried would notice only by losing the next one, so that the
+// flow is ended. A flow opened after the restart, but before its registration, is kept.
 func TestRestartEndsIdleFlows(t *testing.T) {
 	s := newSite(t, 1)
 	server := s.node.View().ByName("a-0")
@@ -43,9 +41,9 @@
 	require.Equal(t, 1, status.Work)
 }
 
-// A server didn't tell when it started, and now it does: it is a newer release's entry, or
-// another writer had left the field out. Taken for a new start, it would cost callers their
-// idle flows.
+// A server record that begins to include a start time must not count as a restart, which
+// would end idle flows. The record may come from a newer release, or another writer had
+// left the field out.
 func TestRestartNotFromFirstStartTime(t *testing.T) {
 	s := newSite(t, 1)
 	server := s.node.View().ByName("a-0")
@@ -57,8 +55,8 @@
 	require.Equal(t, Forward, c.request().Kind)
 }
 
-// The registration of an earlier start comes after that of a later one. Flows of the
-// later start would be taken for lost.
+// The registration of an earlier start may arrive after that of a later one, whose flows
+// must be kept.
 func TestRestartIgnoresEarlierStart(t *testing.T) {
 	s := newSite(t, 1)
 	server := s.node.View().ByName("a-0")
@@ -70,8 +68,7 @@
 	require.Equal(t, Forward, c.request().Kind)
 }
 
-// A server was silent before it crashed, and is well since it has started again. New
-// callers would keep away from it for seconds for what its earlier start did.
+// A server that was silent before its restart must not be avoided afterwards.
 func TestRestartClearsAvoidance(t *testing.T) {
 	s := newSite(t, 2)
 	for _, server := range s.node.View().Servers {
@@ -87,7 +84,7 @@
 	require.False(t, s.status(silent.Instance).Avoided)
 }
 
-// status returns what the node believes of a server.
+// status returns the node's status of a server.
 func (s *site) status(instance string) ServerStatus {
 	s.t.Helper()
 	for _, status := range s.node.Servers(s.now) {
