--- a/bronzesteer/harness_test.go
+++ b/bronzesteer/harness_test.go
@@ -19,20 +19,20 @@
 	begin   = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 )
 
-// site is a small deployment in a test: the directory, one node in zone a, and
-// the time, which only the test moves.
+// site is a small deployment: the directory, one node in zone a, and a clock that only the
+// test advances.
 type site struct {
 	t         *testing.T
 	directory bronzeroute.Directory
 	node      *Steerer
 	now       time.Time
 	port      uint16
-	// endings are what sweeps have returned.
+	// endings are the flows that sweeps have ended.
 	endings []EndedFlow
 }
 
-// newSite returns a site with the given number of servers in zones a, b, c.
-// Requests to live may be repeated, those to outline may not.
+// newSite returns a site with the given numbers of servers in zones a, b and c. Requests to
+// live may be retried, those to outline may not.
 func newSite(t *testing.T, servers ...int) *site {
 	t.Helper()
 	s := &site{t: t, now: begin, port: 1024}
@@ -60,7 +60,7 @@
 	})
 }
 
-// newNode returns a node in zone a that has been up for long.
+// newNode returns a node in zone a that has been running for a minute.
 func (s *site) newNode() *Steerer {
 	n := &Steerer{
 		AvailabilityZone: "a", Region: "r", Regions: map[string]string{"a": "r", "b": "r", "c": "r"},
@@ -71,7 +71,7 @@
 	return n
 }
 
-// pass lets time pass, with the node's sweeps.
+// advance advances the clock, sweeping the node on the way.
 func (s *site) advance(d time.Duration) {
 	const step = 50 * time.Millisecond
 	for ; d > 0; d -= step {
@@ -80,14 +80,14 @@
 	}
 }
 
-// client is one flow as its caller sees it.
+// client is a flow as seen by its caller.
 type client struct {
 	site   *site
 	packet Packet
 	server *bronzeroute.Server
 }
 
-// open sends an opening for a new flow.
+// open sends the opening of a new flow.
 func (s *site) open(service netip.AddrPort) (*client, Decision) {
 	s.port++
 	caller := netip.AddrPortFrom(netip.MustParseAddr("100.64.0.7"), s.port)
@@ -104,14 +104,14 @@
 	return d
 }
 
-// repeat sends the opening again.
+// retransmit sends the opening again.
 func (c *client) retransmit() Decision {
 	c.packet.Retransmits++
 	c.packet.Token = 0
 	return c.send()
 }
 
-// accept is the caller taking the server's acceptance.
+// accept sends the caller's packet after the server's acceptance.
 func (c *client) accept() Decision {
 	c.packet.Open = false
 	c.packet.Sequence = 101
@@ -119,7 +119,7 @@
 	return c.send()
 }
 
-// ask sends a request of 100 bytes; askAgain sends it again.
+// request sends a request of 100 bytes; retransmitRequest sends it again.
 func (c *client) request() Decision {
 	c.packet.Length = 100
 	return c.send()
@@ -127,7 +127,7 @@
 
 func (c *client) retransmitRequest() Decision { return c.send() }
 
-// answered acknowledges an answer of 1,000 bytes.
+// acknowledge acknowledges an answer of 1,000 bytes.
 func (c *client) acknowledge() Decision {
 	c.packet.Sequence += uint32(c.packet.Length)
 	c.packet.Length = 0
@@ -135,7 +135,7 @@
 	return c.send()
 }
 
-// serve opens a flow and has one request answered.
+// serve opens a flow with one answered request.
 func (s *site) serve(service netip.AddrPort) *client {
 	s.t.Helper()
 	c, d := s.open(service)
@@ -147,7 +147,7 @@
 	return c
 }
 
-// round has each of the clients ask and be answered.
+// exchange has each of the clients send a request that is answered.
 func (s *site) exchange(clients []*client) {
 	s.t.Helper()
 	for _, c := range clients {
--- a/bronzesteer/hedge_test.go
+++ b/bronzesteer/hedge_test.go
@@ -10,8 +10,8 @@
 	"bronzeusher.example/bronzeusher/bronzeroute"
 )
 
-// wait lets time pass until the next opening is overdue, and takes what is sent then as
-// the caller's packet would be.
+// nextHedges advances the clock until the next opening is due, and returns the hedges sent
+// then.
 func (s *site) nextHedges() (list []Hedge) {
 	s.t.Helper()
 	at, ok := s.node.NextHedge()
@@ -22,7 +22,7 @@
 	return s.node.Hedges(s.now)
 }
 
-// handshakes opens n flows whose servers answer after took.
+// completeHandshakes opens n flows that are accepted after took.
 func (s *site) completeHandshakes(n int, took time.Duration) {
 	for range n {
 		c, d := s.open(live)
@@ -32,10 +32,9 @@
 	}
 }
 
-// A server crashes without a word, and a caller's opening goes there. The caller would
-// repeat it after 200 ms, which is late for a request that should take 150. Some
-// milliseconds after other servers would have answered, another one is asked, and the
-// next caller isn't sent to the silent one at all.
+// A server crashes, and an opening is sent to it. The caller would retransmit only after
+// 200 ms, too late for a request that should take 150. Another server must be tried some
+// milliseconds after answers usually come, and new flows must avoid the crashed server.
 func TestHedgeUnresponsiveServer(t *testing.T) {
 	s := newSite(t, 3)
 	s.completeHandshakes(20, 3*time.Millisecond)
@@ -60,8 +59,7 @@
 	}
 }
 
-// Of three servers two are silent, and an opening meets both. It goes on to the third,
-// and no further.
+// An opening whose hedge isn't answered either is sent to a third server, but no further.
 func TestHedgeTwice(t *testing.T) {
 	s := newSite(t, 4)
 	s.completeHandshakes(20, 3*time.Millisecond)
@@ -76,9 +74,9 @@
 	require.Empty(t, s.nextHedges())
 }
 
-// The first server answers after all, and then the second: the caller goes on with the
-// first, but sends back what the second said last. Steered by that, its packets would
-// reach a server that doesn't have the flow, which would end it.
+// The first server answers an opening after all, and then the second. The caller continues
+// with the first, but sends back the token of the second. Its packets must not be sent to
+// the second server, which doesn't have the flow and would end it.
 func TestHedgeLostKeepsServer(t *testing.T) {
 	s := newSite(t, 3)
 	s.completeHandshakes(20, 3*time.Millisecond)
@@ -95,9 +93,9 @@
 	require.False(t, s.status(d.Server.Instance).Avoided, "it has answered")
 }
 
-// The same, but the caller took the second server's acceptance; the first's comes a moment
-// later. The node sees it by the token that the caller sends back then: the first server
-// is late, not silent, and new callers go there again at once.
+// The caller has taken the second server's acceptance when the first server's comes. The
+// token sent back then shows that the first server was late, not silent, and new flows must
+// no longer avoid it.
 func TestHedgeLateAcceptClearsServer(t *testing.T) {
 	s := newSite(t, 3)
 	s.completeHandshakes(20, 3*time.Millisecond)
@@ -112,8 +110,8 @@
 	require.False(t, s.status(d.Server.Instance).Avoided)
 }
 
-// Servers are far away, or the node is slow: answers take 30 ms. Openings are left that
-// time; hedged after the usual few milliseconds, each would go to two servers.
+// If answers take 30 ms, hedges must wait for that time. Sent after the usual few
+// milliseconds, they would double all openings.
 func TestHedgeDelayFollowsHandshakeTime(t *testing.T) {
 	s := newSite(t, 3)
 	s.completeHandshakes(30, 30*time.Millisecond)
@@ -124,8 +122,8 @@
 	require.LessOrEqual(t, s.now.Sub(sent), maxHedgeDelay)
 }
 
-// All servers of a large zone fall silent while callers press. If each opening were sent
-// to three servers, the others would have three times the openings.
+// All servers are silent under load. If each opening were sent to three servers, the others
+// would get three times the openings.
 func TestHedgeBudget(t *testing.T) {
 	s := newSite(t, 6, 6)
 	s.completeHandshakes(20, 3*time.Millisecond)
@@ -140,9 +138,8 @@
 	require.Positive(t, hedged)
 }
 
-// Callers come at once, and the servers have more to do than they can do in time. An
-// opening that waits in that crowd isn't sent to a further server, where it would only
-// take the place of another caller's.
+// Under overload, an opening that waits must not be hedged: it would only take the place of
+// another caller's.
 func TestHedgeNotSentWhenOverloaded(t *testing.T) {
 	s := newSite(t, 3)
 	shares := []bronzeroute.WeightedPool{{Pool: "live", Weight: 1}}
@@ -159,9 +156,8 @@
 	require.Empty(t, s.nextHedges())
 }
 
-// However openings are answered, repeated, given up and hedged, each goes to at most
-// hedgesMost further servers, never to the one that was just asked, and none is sent
-// once its caller has gone on.
+// An opening is sent to at most maxHedges further servers, never to the one just tried, and
+// not after its caller has continued, whatever the order of events.
 func TestHedgeInvariants(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		s := newSite(t, 3, 2)
--- a/bronzesteer/steer_test.go
+++ b/bronzesteer/steer_test.go
@@ -19,8 +19,8 @@
 	require.Equal(t, Decision{Kind: Wait, Reason: NoView}, s.Decide(&p, begin))
 }
 
-// All nodes lose power. The flow's next packet arrives at a node that has
-// just started and knows nothing but the servers: it must reach the server.
+// All nodes have lost power. The next packet of a flow arrives at a node that has just
+// started and has only the view: it must still reach the flow's server.
 func TestDecideAfterNodeRestart(t *testing.T) {
 	s := newSite(t, 4, 4)
 	c := s.serve(live)
@@ -31,8 +31,8 @@
 	require.Equal(t, server.Instance, d.Server.Instance)
 }
 
-// The route moves to another pool. New flows go there; open ones stay where
-// they are, also at a node that starts afterwards.
+// A route moves to another pool. New flows use that pool, but open flows stay at their
+// servers, also at a node that starts afterwards.
 func TestDecideRouteMoved(t *testing.T) {
 	s := newSite(t, 2)
 	c := s.serve(live)
@@ -56,8 +56,8 @@
 	require.Equal(t, Decision{Kind: End, Reason: NoRoute}, d)
 }
 
-// A node that lags behind hears of a flow whose route it doesn't know yet. A
-// reset would end a flow that is well; the caller repeats the packet.
+// A node whose view is outdated gets a packet of a flow with an unknown route or server. A
+// reset would end a healthy flow; a dropped packet is retransmitted.
 func TestDecideStaleView(t *testing.T) {
 	s := newSite(t, 2)
 	c := s.serve(live)
@@ -83,8 +83,8 @@
 	require.Equal(t, c.server.Instance, d.Tried.Instance)
 }
 
-// The first server doesn't answer an opening and nobody else. Its copy, 200 ms
-// later, goes to another one: the caller gives up after the second copy.
+// The first server answers neither an opening nor anyone else. The first retransmission,
+// after 200 ms, must go to another server, because the caller gives up after the second.
 func TestRetransmitToOtherServer(t *testing.T) {
 	s := newSite(t, 2)
 	c, d := s.open(live)
@@ -96,8 +96,8 @@
 	require.Equal(t, first, d.Tried.Instance)
 }
 
-// The opening is lost, but the server answers others meanwhile. Its copy goes
-// to the same server, so that no two accept.
+// An opening is lost, but its server answers others meanwhile. The retransmission goes to
+// the same server, so that no two servers accept.
 func TestRetransmitToSameServer(t *testing.T) {
 	s := newSite(t, 1, 1)
 	c, d := s.open(live)
@@ -110,10 +110,9 @@
 	require.Equal(t, first, d.Server.Instance)
 }
 
-// Two servers accept copies of one opening, because the first one's acceptance
-// was late. The caller goes on with the one whose acceptance came first, and
-// then sends back the token of the other, whose acceptance came after. Payload
-// for the first must not go to the second, which would reset the flow.
+// Two servers accept the same opening because the first one's acceptance was late. The
+// caller continues with the one whose acceptance came first, but sends back the token of
+// the other. Its data must not go to the other server, which would reset the flow.
 func TestSecondAcceptIgnored(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		s := newSite(t, 2)
@@ -142,10 +141,9 @@
 	require.Equal(t, Decision{Reason: NotACaller}, c.send())
 }
 
-// Whatever packets come in whatever order, a packet of a flow only ever goes
-// to a server of a pool that its route has named, an opening only to one that
-// takes new flows or may come back, and only a flow whose route or server is
-// gone, or whose server is silent, is ended.
+// For random sequences of packets, an established flow stays at its server, an opening goes
+// to no draining server, and flows are only ended if their server is gone or silent, or no
+// server is left.
 func TestDecideInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := newSite(t, 2, 2)
@@ -186,7 +184,7 @@
 	})
 }
 
-// step has a client do one thing that a caller may do next.
+// randomStep has a client do one thing that a caller may do next.
 func (s *site) randomStep(rt *rapid.T, c *client) Decision {
 	if c.packet.Open {
 		if rapid.Bool().Draw(rt, "repeat") {
@@ -203,9 +201,9 @@
 	return c.request()
 }
 
-// A flood of openings to one Customer fills what a node follows of it. Memory
-// stays bounded, and flows that no more is known of are served all the same. A
-// flow of another Customer is followed as ever.
+// A flood of openings to one Customer uses up that Customer's share of the tracked flows.
+// Its flows are forwarded without being tracked, and those of another Customer are tracked
+// as usual.
 func TestTrackingLimitPerCustomer(t *testing.T) {
 	s := newSite(t, 2)
 	shares := []bronzeroute.WeightedPool{{Pool: "live", Weight: 1}}
@@ -234,8 +232,9 @@
 	require.Equal(t, before+1, s.node.Flows())
 }
 
-// A node has 64 MB. It follows as many flows as leave room for the rest of it: beyond, its
-// process would be ended and all its callers' packets lost; forwarded they are all the same.
+// A node with little memory tracks only as many flows as leave room for everything else,
+// and forwards the others untracked. Beyond, its process would be killed and all its
+// callers' packets lost.
 func TestTrackingLimitByMemory(t *testing.T) {
 	const small = 1 << 20
 	require.Equal(t, maxFlows, flowLimit(0), "the memory isn't told")
@@ -258,8 +257,8 @@
 	require.Positive(t, s.node.Flows())
 }
 
-// Half-open flows are what a flood uses up; they are bounded by themselves, and
-// given back when their callers don't go on.
+// Half-open flows have a limit of their own, and their place is freed when callers don't
+// continue.
 func TestTrackingLimitHalfOpen(t *testing.T) {
 	s := newSite(t, 2)
 	for range int(halfOpenFraction * maxFlows) {
