--- a/bronzesteer/overload_test.go
+++ b/bronzesteer/overload_test.go
@@ -12,7 +12,7 @@
 	"bronzeusher.example/bronzeusher/bronzeroute"
 )
 
-// events are steps of a simulation, by time.
+// events is a queue of simulation steps, ordered by time.
 type events []event
 
 type event struct {
@@ -31,14 +31,14 @@
 	return last
 }
 
-// queueSite is a site whose servers work on two requests at a time and queue
-// eight. Callers open a flow for each request, with two more tries if they are
-// turned away or the queue is full.
+// queueSite is a site whose servers process two requests at a time and queue eight. Callers
+// open a flow for each request, with up to two more tries if they are refused or the queue
+// is full.
 type queueSite struct {
 	*site
 	events events
 	rnd    *rand.Rand
-	// slots are until when each server's slots are taken.
+	// slots holds until when each slot of each server is in use.
 	slots map[string][]time.Time
 
 	asked, inTime, late, failed int
@@ -51,7 +51,7 @@
 	simTries     = 3
 )
 
-// newQueueSite returns a site with so many servers in each of two zones.
+// newQueueSite returns a site with perZone servers in each of two zones.
 func newQueueSite(t *testing.T, perZone int) *queueSite {
 	q := &queueSite{site: newSite(t, perZone, perZone), rnd: rand.New(rand.NewPCG(5, 6)), slots: map[string][]time.Time{}}
 	q.node.Random = q.rnd.IntN
@@ -71,7 +71,8 @@
 	heap.Push(&q.events, event{q.now.Add(d), do})
 }
 
-// run has callers come at a rate for some time, and lets all be served.
+// run simulates callers arriving at the given rate for d, until all have been served or
+// have failed.
 func (q *queueSite) run(service netip.AddrPort, perSecond float64, d time.Duration) {
 	gap := time.Duration(float64(time.Second) / perSecond)
 	for at := time.Duration(0); at < d; at += gap {
@@ -114,7 +115,7 @@
 	if start.Before(q.now) {
 		start = q.now
 	}
-	// With eight in the queue, a slot is free after four rounds of work.
+	// With eight requests queued, a slot is free after four rounds of work.
 	if start.Sub(q.now) > simQueue/2*simWork {
 		q.after(time.Millisecond, func() { q.try(service, since, tries-1) })
 		return
@@ -131,11 +132,9 @@
 	})
 }
 
-// Three times the usual callers come for eight seconds, a third more than the
-// servers can serve. Each finds a place in a queue in the end, and nearly all
-// are served late, although the servers work on as many requests as they can.
-// Those whose turn would come too late must be told at once, so that most of the
-// others are served in time.
+// Three times the usual callers arrive, a third more than the capacity. With all queues
+// full, nearly all requests would be served late. Enough must be refused for most of the
+// others to be served in time.
 func TestOverloadGoodput(t *testing.T) {
 	q := newQueueSite(t, 3)
 	const capacity = 6 * 2 * float64(time.Second/simWork)
@@ -145,9 +144,9 @@
 	require.Less(t, float64(q.late)/float64(q.asked), 0.02)
 }
 
-// The same with a service of so many servers that openings look at a sample of
-// them, and at what is known of the others together, which is some milliseconds
-// old: if it were too old, callers would be let in and turned away by turns.
+// The same with a pool so large that openings use a sample of the servers and a summary of
+// the pool. An outdated summary would alternate between letting all callers in and refusing
+// all.
 func TestOverloadGoodputLargePool(t *testing.T) {
 	const perZone = 30
 	require.Greater(t, 2*perZone, maxFullScan)
@@ -158,7 +157,7 @@
 	require.Less(t, float64(q.late)/float64(q.asked), 0.02)
 }
 
-// Half as many callers again as usual find free slots: nobody is turned away.
+// At half as many callers again as usual there are free slots, and none is refused.
 func TestNoSheddingBelowCapacity(t *testing.T) {
 	q := newQueueSite(t, 3)
 	const capacity = 6 * 2 * float64(time.Second/simWork)
@@ -167,8 +166,8 @@
 	require.Greater(t, float64(q.inTime)/float64(q.asked), 0.99)
 }
 
-// The pool's other endpoint has a caller a second. They are not what fills
-// the queues, so none of them is turned away.
+// The pool's other endpoint has one caller per second, which doesn't cause the overload and
+// must not be refused.
 func TestNoSheddingForQuietEndpoint(t *testing.T) {
 	q := newQueueSite(t, 3)
 	for i := range 8 {
--- a/bronzesteer/place_test.go
+++ b/bronzesteer/place_test.go
@@ -10,7 +10,7 @@
 	"bronzeusher.example/bronzeusher/bronzeroute"
 )
 
-// spread opens n flows of one request each and counts them by server and zone.
+// serveAndCount opens n flows with one request each, and counts them by server and zone.
 func (s *site) serveAndCount(n int) (byServer, byZone map[string]int) {
 	byServer, byZone = map[string]int{}, map[string]int{}
 	for range n {
@@ -27,10 +27,10 @@
 	require.Equal(t, map[string]int{"a": 60}, byZone)
 }
 
-// The load it answers: the callers of one zone are many for its servers, as
-// when 1.7 times the usual users come, and other zones have room. Kept in the
-// zone, requests waited for each other and a sixth was late. As many flows
-// leave as bring the zone's use to 1.25 times the average.
+// The callers of one zone are too many for its servers, as at 1.7 times the usual load,
+// while other zones have free capacity. Kept in the zone, a sixth of the requests would be
+// late. As many flows must be placed elsewhere as reduce the zone's utilization to 1.25
+// times the average.
 func TestPlaceSpillsFromFullZone(t *testing.T) {
 	s := newSite(t, 2, 2, 2)
 	r := rand.New(rand.NewPCG(1, 2))
@@ -54,14 +54,14 @@
 			away++
 		}
 	}
-	// Use is 60*0.03/2 = 0.9 in zone a and 0.4 on average: 1.25*0.4/0.9 stay.
+	// Utilization is 60*0.03/2 = 0.9 in zone a and 0.4 on average: a share of 1.25*0.4/0.9
+	// stays.
 	require.InDelta(t, 200*(1-1.25*0.4/0.9), away, 20)
 }
 
-// All nodes were without power, and start without knowing any load. The callers
-// of one zone come back at once: within half a second each opens a flow and asks.
-// Kept in their zone they would fill its servers' queues, which then refuse, while
-// those of other zones are idle. No rate tells of it yet.
+// After a power failure, all nodes start without any loads, and the callers of one zone
+// open their flows within half a second. Kept in their zone, they would fill its servers'
+// queues while other zones are idle. No rate shows the surge yet.
 func TestPlaceSpillsDuringSurge(t *testing.T) {
 	s := newSite(t, 2, 2, 2)
 	r := rand.New(rand.NewPCG(3, 4))
@@ -84,7 +84,7 @@
 	}
 }
 
-// What other nodes told long ago says nothing of now.
+// Loads reported long ago are not used.
 func TestPeerLoadsExpire(t *testing.T) {
 	s := newSite(t, 2, 2)
 	s.node.Random = func(n int) int { return n - 1 }
@@ -103,7 +103,7 @@
 	require.Equal(t, "a", c.server.AvailabilityZone)
 }
 
-// Of many nodes only some are heard in time. What they tell stands for all.
+// If only some peers have reported recently, their loads are scaled up to all peers.
 func TestPeerLoadsExtrapolated(t *testing.T) {
 	s := newSite(t, 1)
 	server := s.node.View().Servers[0]
@@ -115,8 +115,8 @@
 	require.InDelta(t, 40, s.node.state.Load().backendOf(server, nil).peerRate, 0.001)
 }
 
-// A node that sends to more servers than it may tell of tells of those that it
-// sends most to, and of none that it hardly sends anything to.
+// A node with more servers than fit into its loads reports those with the highest rates,
+// and none with hardly any load.
 func TestLoadsBusiestServers(t *testing.T) {
 	s := newSite(t, maxLoads+10)
 	s.advance(loadInterval)
@@ -134,8 +134,8 @@
 	require.Empty(t, s.node.Loads())
 }
 
-// A server that has just started works at half speed. With a full share of
-// the flows its callers would wait.
+// A server that has just started works at half speed, and its flows would wait with a full
+// share.
 func TestPlaceColdServer(t *testing.T) {
 	s := newSite(t, 2)
 	cold := s.node.View().ByName("a-0")
@@ -152,7 +152,7 @@
 	require.InDelta(t, 10, len(there), 1)
 }
 
-// A server works slowly, though it says it is well. Its answers show it.
+// A server is slow, which only its answer times show.
 func TestPlaceSlowServer(t *testing.T) {
 	s := newSite(t, 2)
 	slow := s.node.state.Load().backendOf(s.node.View().ByName("a-0"), nil)
@@ -177,9 +177,8 @@
 	require.Equal(t, map[string]int{"b": 10}, byZone)
 }
 
-// All registrations of a pool disappear at once, as when the discovery service
-// loses them. Refusing every caller would be worse than to ask servers that
-// may be gone.
+// All registrations of a pool disappear at once, for example because the discovery service
+// has lost them. Using servers that may be gone is better than refusing every caller.
 func TestPlaceMissingServersAsLastResort(t *testing.T) {
 	s := newSite(t, 2)
 	for _, name := range []string{"a-0", "a-1"} {
@@ -194,8 +193,8 @@
 	require.Equal(t, map[string]int{"a-0": 10}, byServer)
 }
 
-// The only archive server of a zone has left, and the zone is cut off. Routes
-// that name two pools use the one that can be reached.
+// The first of a route's pools has only one server, which is silent. The other pool must be
+// used.
 func TestPlaceFallsBackToOtherPool(t *testing.T) {
 	s := newSite(t, 2)
 	archive := bronzeroute.Server{Pool: "archive"}
@@ -231,9 +230,9 @@
 	})
 }
 
-// A server has become slow. Of many nodes each sends it a request now and then: this one
-// has seen it quick, long ago, and would go on sending callers there. It goes by what the
-// others see.
+// In a large fleet, each node rarely sends requests to a slow server, and this node has old
+// samples from before the server became slow. It must use the latencies that its peers
+// report.
 func TestPlaceUsesPeerLatency(t *testing.T) {
 	s := newSite(t, 2)
 	s.serveN(4, live)
@@ -256,9 +255,8 @@
 	require.LessOrEqual(t, toSlow, 2)
 }
 
-// A server fails every request at once, with its health good. By its latency and its load
-// it would be the quickest and idlest of all, and draw most of the callers, who all get
-// errors. It gets few, and callers again when that is some time ago.
+// A server fails every request at once, but is healthy otherwise. By latency and load it
+// would look best and attract most flows. It must get few, and more again after some time.
 func TestPlaceFastFailingServer(t *testing.T) {
 	s := newSite(t, 4)
 	s.serveN(16, live)
@@ -287,8 +285,8 @@
 	require.GreaterOrEqual(t, there, 2)
 }
 
-// Of two servers one is slow, and answers take so long on average that those of the other
-// seem too quick to be more than errors. They are what is usual, all the same.
+// One of two servers is so slow that the answers of the other are much faster than average.
+// They must not count as failures.
 func TestFastServerBesideSlowOne(t *testing.T) {
 	s := newSite(t, 2)
 	k := s.node.state.Load()
@@ -304,10 +302,10 @@
 	require.EqualValues(t, 20, s.status("a-1").LatencyMS)
 }
 
-// Callers press, and servers with full queues refuse at once. Taken for failing ones, each
-// would be kept away from in turn, and the callers would fill the next: of a day with 1.6
-// times the callers and some slow servers, twice as many requests were late. Their quick
-// answers count as what they are.
+// Under load, servers with full queues refuse at once. Counted as failing, each would be
+// avoided in turn and the flows would fill the next: at 1.6 times the usual load with some
+// slow servers, twice as many requests were late. Their fast answers must count as
+// measured.
 func TestBusyServerNotFastFailing(t *testing.T) {
 	s := newSite(t, 4)
 	s.serveN(16, live)
--- a/bronzesteer/pool_test.go
+++ b/bronzesteer/pool_test.go
@@ -11,10 +11,9 @@
 	"bronzeusher.example/bronzeusher/bronzeroute"
 )
 
-// The load it answers: a service of 1,000 servers, before which each node has 50
-// openings a second and a tenth of a core. When all servers were looked at, that
-// took a fifth of what the node has, and its callers' packets waited for it. A
-// sample does, if flows are spread nearly as evenly.
+// For a service of 1,000 servers and 50 openings per second, comparing all servers took a
+// fifth of the time of a node with a tenth of a core, and delayed its callers' packets. A
+// sample must balance flows nearly as evenly.
 func TestLargePoolSampleBalance(t *testing.T) {
 	const perZone, each = 400, 8
 	s := newSite(t, perZone, perZone, perZone)
@@ -36,14 +35,13 @@
 	for _, n := range byServer {
 		most = max(most, n)
 	}
-	// Flows also leave the zone by zoneLead; looking at all servers gives 3.
+	// Some flows leave the zone because of maxZoneLead; comparing all servers gives 3.
 	mean := float64(perZone*each) / float64(len(byServer))
 	require.LessOrEqual(t, float64(most), mean+1.5)
 }
 
-// A sample may hold none of the servers that can take a flow. Its caller would
-// be sent to a silent server, or away, though there is one that answers; then
-// all are looked at.
+// If a sample holds no usable server, all servers must be compared: a caller would
+// otherwise be sent to a silent server or refused, though another server answers.
 func TestLargePoolSampleFallback(t *testing.T) {
 	s := newSite(t, 100, 100)
 	for i, server := range s.node.View().Servers {
@@ -60,8 +58,8 @@
 	require.Equal(t, bronzeroute.Serving, c.server.Status)
 }
 
-// What is kept of a pool as a whole must not hide a surge: requests that came since
-// count at once, so that openings are turned away in time.
+// The cached summary of a pool must not hide a surge: new requests count at once, so that
+// openings are refused in time.
 func TestLargePoolInFlightUpToDate(t *testing.T) {
 	s := newSite(t, 100)
 	p := s.node.state.Load().pools["live"]
@@ -78,7 +76,7 @@
 	require.InDelta(t, 50.0/200, sum.inFlight.perSlot(), 1e-9)
 }
 
-// A sample has no server twice, and over time each.
+// A sample holds no server twice, and covers all servers over time.
 func TestLargePoolSampleCoverage(t *testing.T) {
 	s := newSite(t, 60, 60)
 	r := rand.New(rand.NewPCG(3, 4))
--- a/bronzesteer/refuse_test.go
+++ b/bronzesteer/refuse_test.go
@@ -14,8 +14,8 @@
 
 var archive = netip.MustParseAddrPort("198.18.0.2:443")
 
-// newCutSite returns a site whose servers of the archive are in zone b alone,
-// with callers of zone a that are answered all the time.
+// newPartitionedSite returns a site whose archive servers are all in zone b, with callers
+// of zone a that are served all the time.
 func newPartitionedSite(t *testing.T) (s *site, own []*client) {
 	s = newSite(t, 4, 4)
 	s.directory.SetTable(&bronzeroute.Table{Version: 2, Routes: []bronzeroute.Route{
@@ -34,15 +34,14 @@
 	return s, s.serveN(8, live)
 }
 
-// crowd is callers of the archive that come every 10 ms and repeat their
-// openings as callers do.
+// crowd is callers of the archive that arrive every 10 ms and retransmit their openings.
 type crowd struct {
 	site    *site
 	own     []*client
 	opening map[*client]time.Time
-	// healed says that servers of the archive accept.
+	// recovered means that the archive servers accept.
 	recovered bool
-	// turnedAway and forwarded count the first copies.
+	// refused and forwarded count the first transmissions.
 	refused   int
 	forwarded int
 }
@@ -53,7 +52,7 @@
 	return c
 }
 
-// run lets time pass, while callers of the own zone are answered.
+// run lets time pass while callers of the own zone are answered.
 func (c *crowd) run(d time.Duration) {
 	s := c.site
 	for end := s.now.Add(d); s.now.Before(end); {
@@ -71,7 +70,7 @@
 	}
 }
 
-// accept has all openings accepted, if servers accept.
+// accept has all openings accepted, if recovered is set.
 func (c *crowd) accept() {
 	if !c.recovered {
 		return
@@ -82,7 +81,7 @@
 	clear(c.opening)
 }
 
-// repeat repeats the openings that are due. None may be turned away.
+// retransmit retransmits the openings that are due. None may be refused.
 func (c *crowd) repeat() {
 	for caller, at := range c.opening {
 		age := c.site.now.Sub(at)
@@ -96,10 +95,10 @@
 	}
 }
 
-// A zone is cut off, and none of its servers is of the archive's pool. The first
-// callers repeat their openings until they give up after 1.4 s. The next are told
-// at once, but for one in 200 ms; when the cut is healed that one is answered,
-// and all others are served.
+// A zone without a server of the archive's pool is cut off. The first callers retransmit
+// their openings until they give up after 1.4 s. Later ones must be refused at once, except
+// at the exempt rate; when one of these is answered after the partition has healed, all are
+// served.
 func TestRefuseUnreachablePool(t *testing.T) {
 	c := newCrowd(t)
 	c.run(5 * time.Second)
@@ -115,8 +114,8 @@
 	require.Zero(t, c.refused)
 }
 
-// A copy of an opening may follow one that a server has just accepted, at this
-// node or another: a reset would end a flow that is open.
+// A retransmission may follow an opening that a server has just accepted, via this node or
+// another. A reset would end an open flow.
 func TestRefuseNotRetransmits(t *testing.T) {
 	c := newCrowd(t)
 	c.run(3 * time.Second)
@@ -129,7 +128,7 @@
 	}
 }
 
-// A node that itself hears nobody doesn't know who is cut off.
+// A node that gets no answers itself can't tell that the servers are unreachable.
 func TestRefuseNotWhenIsolated(t *testing.T) {
 	s, _ := newPartitionedSite(t)
 	for range 40 {
--- a/bronzesteer/zones_test.go
+++ b/bronzesteer/zones_test.go
@@ -10,14 +10,14 @@
 	"bronzeusher.example/bronzeusher/bronzeroute"
 )
 
-// drain has the zone drained in the node's view.
+// drainZone drains the zone in the node's view.
 func (s *site) drainZone(zone string) {
 	s.directory.DrainZone(zone)
 	s.node.SetView(s.directory.View())
 }
 
-// The operator drains the node's own zone under load. Callers open new flows, which go to
-// the other zones evenly; those that were open there stay, and go on asking.
+// The node's own zone is drained under load. New flows are distributed evenly over the
+// other zones, and open flows stay.
 func TestDrainedZoneNoNewFlows(t *testing.T) {
 	s := newSite(t, 3, 3, 3)
 	s.node.Random = rand.New(rand.NewPCG(1, 2)).IntN
@@ -42,8 +42,8 @@
 	require.Equal(t, 30, byZone["a"])
 }
 
-// A server of the drained zone has an opening when the drain comes, and doesn't answer. The
-// caller's copy, and a second opening of ours, go to another zone and not there again.
+// A server of a drained zone has an unanswered opening from before. Neither the caller's
+// retransmission nor the node's hedge may go to the drained zone.
 func TestDrainedZoneRetransmits(t *testing.T) {
 	s := newSite(t, 1, 1)
 	_, d := s.open(live)
@@ -61,9 +61,9 @@
 	require.Equal(t, "b", c.retransmit().Server.AvailabilityZone)
 }
 
-// All servers that could take a caller's flow are in drained zones. It is refused at once,
-// with the reason: a caller that waits for nothing has no time left to try elsewhere. A
-// copy is dropped, as the first may have been accepted.
+// All servers for a flow are in drained zones. Openings are refused at once, so that
+// callers have time to try elsewhere; retransmissions are dropped, since an earlier
+// transmission may have been accepted.
 func TestDrainedZonesRefuse(t *testing.T) {
 	s := newSite(t, 2, 2)
 	early, _ := s.open(live)
@@ -84,8 +84,8 @@
 	require.Equal(t, Drop, late.send().Kind, "another node may have placed it")
 }
 
-// Whatever else befalls the servers that remain, a drained zone is no last resort: they are
-// silent, or gone, or the registrations of all lapse.
+// A drained zone isn't used as a last resort when the remaining servers are silent, gone or
+// missing.
 func TestDrainedZoneNoLastResort(t *testing.T) {
 	s := newSite(t, 2, 2)
 	s.drainZone("b")
@@ -111,7 +111,7 @@
 	require.Equal(t, Decision{Kind: End, Reason: NoServer}, d, "nobody is there")
 }
 
-// A route has a second pool for when its first has no server. That is drained, too.
+// A route's second pool, used because the first has no servers, is in a drained zone.
 func TestDrainedZoneSecondPool(t *testing.T) {
 	s, _ := newPartitionedSite(t)
 	s.directory.SetTable(&bronzeroute.Table{Version: 3, Routes: []bronzeroute.Route{{
@@ -126,8 +126,7 @@
 	require.Equal(t, Decision{Kind: End, Reason: ZoneDrained}, d)
 }
 
-// A pool is so large that openings look at a sample of it. All of the own zone's share of
-// the sample is drained.
+// In a pool large enough to be sampled, all servers of the own zone are drained.
 func TestDrainedZoneLargePool(t *testing.T) {
 	s := newSite(t, 100, 100)
 	s.node.Random = rand.New(rand.NewPCG(3, 4)).IntN
