--- a/bronzesteer/memory_test.go
+++ b/bronzesteer/memory_test.go
@@ -8,7 +8,7 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// BenchmarkFlowMemory reports what one open flow that is followed takes.
+// BenchmarkFlowMemory reports the memory used by one tracked open flow.
 func BenchmarkFlowMemory(b *testing.B) {
 	const flows = 100_000
 	for b.Loop() {
--- a/bronzesteer/view_bench_test.go
+++ b/bronzesteer/view_bench_test.go
@@ -10,8 +10,8 @@
 	"bronzeusher.example/bronzeusher/bronzeroute"
 )
 
-// BenchmarkChange measures what one change of the servers costs a node: the
-// view, and what is known of the servers in it, for services of 16 servers.
+// BenchmarkChange measures the cost of one change of the servers: the new view and its
+// state, and a sweep, for services of 16 servers.
 func BenchmarkChange(b *testing.B) {
 	const perService = 16
 	for _, n := range []int{150, 600, 2400, 5100} {
@@ -70,8 +70,8 @@
 	}
 }
 
-// BenchmarkSummary measures what counts of a large service as a whole, which is
-// added up four times a second.
+// BenchmarkSummary measures the summary of a large service, which is recomputed every
+// summaryMaxAge.
 func BenchmarkSummary(b *testing.B) {
 	for _, n := range []int{100, 1000, 2400} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/bronzesteer/viewstate_test.go
+++ b/bronzesteer/viewstate_test.go
@@ -13,10 +13,9 @@
 	"bronzeusher.example/bronzeusher/bronzeroute"
 )
 
-// What is known of a view is taken over from the one before. Whatever came and went,
-// its servers, its pools and the zones' counts are those of a node that starts with
-// the view; what was seen of a server stays as long as it is known, and a pool in
-// which nothing changed stays itself.
+// A view state is derived from the former one. After any sequence of changes, its servers,
+// pools and zone counts must equal those of a new node. The state of a server is kept as
+// long as the server is known, and unchanged pools are reused.
 func TestViewStateIncremental(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var d bronzeroute.Directory
@@ -58,7 +57,7 @@
 	})
 }
 
-// requireAlike checks that two have the same servers, and the same pools.
+// requireSameState checks that two view states have the same servers and pools.
 func requireSameState(t require.TestingT, want, got *viewState) {
 	names := func(members []member) (names []string) {
 		for _, m := range members {
@@ -75,8 +74,7 @@
 	}
 }
 
-// requireKept checks that what was seen of servers is kept, and pools that didn't
-// change.
+// requireStateKept checks that the states of servers and unchanged pools are kept.
 func requireStateKept(t require.TestingT, seen map[string]*backend, former, k *viewState) {
 	for name := range seen {
 		if k.view.ByName(name) == nil {
--- a/bronzesteer/warmup_test.go
+++ b/bronzesteer/warmup_test.go
@@ -15,14 +15,15 @@
 	"bronzeusher.example/bronzeusher/bronzeroute"
 )
 
-// What the users allow a cold server in excess of what it bears, in any second.
+// The number of requests allowed to a cold server in any second is excess times its limit,
+// plus slack.
 const (
 	excess = 1.5
 	slack  = 5
 )
 
-// warming is a fleet whose servers start, each node with callers of its own. Nothing but
-// their records and names is known to several nodes.
+// warmupFleet is a fleet of nodes, each with callers of its own, whose servers restart.
+// Nodes share nothing but records and names.
 type warmupFleet struct {
 	t         require.TestingT
 	directory bronzeroute.Directory
@@ -33,24 +34,25 @@
 	port      uint16
 	caller    int
 	perSecond float64
-	// starts counts the starts of servers. Each has a name of its own.
+	// starts counts the starts of servers. Each start has its own name.
 	starts int
-	// sent are the openings that each server got while it was cold.
+	// sent holds the times of the openings that each server got while cold.
 	sent map[string][]time.Time
-	// names are those of the servers' last starts, coldUntil until when each is cold.
+	// names holds the names of the servers' last starts, coldUntil the end of each start's
+	// cold time.
 	names     map[int]string
 	coldUntil map[string]time.Time
-	// asked and refused count the openings of callers, and those refused as servers are cold.
+	// opened counts the callers' openings, refused those refused with ServersCold.
 	opened, refused int
 }
 
-// warmingNode is a node with the names that it knows.
+// warmupNode is a node with the names of its peers.
 type warmupNode struct {
 	*Steerer
 	name string
 	zone int
-	// knows are the nodes of its zone that it has heard of. Isolated says that it hears no
-	// more of them, blind that it sees no more records.
+	// knownPeers holds the nodes of its zone that the node has learned of. An isolated node
+	// learns of no more nodes, one with a staleView sees no more records.
 	knownPeers map[string]bool
 	isolated   bool
 	staleView  bool
@@ -58,8 +60,8 @@
 
 const warmupFor = 2 * time.Second
 
-// newWarming returns a fleet of nodes and servers that are spread over the zones, all of
-// which have been there for long and know each other.
+// newWarmupFleet returns a fleet of long-running nodes that all know each other. Nodes and
+// servers are distributed over the zones.
 func newWarmupFleet(t require.TestingT, nodes, zones, servers int, perSecond float64, seed uint64) *warmupFleet {
 	f := &warmupFleet{
 		t: t, random: rand.New(rand.NewPCG(seed, 2)), now: begin, port: 1024, perSecond: perSecond,
@@ -91,7 +93,7 @@
 	return f
 }
 
-// start registers a server, cold for some time.
+// start registers a new start of a server that is cold for the given time.
 func (f *warmupFleet) start(i int, cold time.Duration) {
 	zone := f.zones[i%len(f.zones)]
 	f.starts++
@@ -117,7 +119,7 @@
 	f.directory.Unregister(name, f.now)
 }
 
-// publish has all nodes but those that are blind see the records.
+// publish updates the views of all nodes, except those with a staleView.
 func (f *warmupFleet) publish() {
 	v := f.directory.View()
 	for _, n := range f.nodes {
@@ -127,7 +129,7 @@
 	}
 }
 
-// join adds a node that knows nobody.
+// join adds a node that knows no peers.
 func (f *warmupFleet) join(name string, zone int) *warmupNode {
 	regions := make(map[string]string)
 	for _, z := range f.zones {
@@ -143,7 +145,7 @@
 	return n
 }
 
-// hear notes another node, and reports whether it is a new one of the zone.
+// learn records another node, and reports whether it is a new one in the zone.
 func (n *warmupNode) learn(other *warmupNode) (news bool) {
 	if other == n || other.zone != n.zone || n.knownPeers[other.name] {
 		return false
@@ -157,11 +159,11 @@
 	for name := range n.knownPeers {
 		names = append(names, name)
 	}
-	// Of one zone, the node may be the only one: it hears those of others.
+	// The node may be the only one in its zone, but know of those in others.
 	n.SetZonePeers(names, !n.isolated || len(names) > 0, now)
 }
 
-// gossip has each node hear of some others, as messages bring their names.
+// gossip has each node learn of some others.
 func (f *warmupFleet) gossip(names int) {
 	for _, n := range f.nodes {
 		news := false
@@ -175,7 +177,7 @@
 	}
 }
 
-// ask sends one caller's opening to a node.
+// open sends one caller's opening to a node.
 func (f *warmupFleet) open(n *warmupNode) {
 	f.caller++
 	caller := callerAddr(f.caller)
@@ -189,22 +191,22 @@
 	if f.random.IntN(4) > 0 {
 		return
 	}
-	// Some callers repeat themselves at once, as if the server was silent.
+	// Some callers retransmit at once, as if the server were silent.
 	p.Retransmits = 1
 	f.count(n.Decide(&p, f.now))
 }
 
-// count notes where an opening went.
+// count records where an opening was sent.
 func (f *warmupFleet) count(d Decision) {
 	if d.Kind == Forward && f.isCold(d.Server.Instance) {
 		f.sent[d.Server.Instance] = append(f.sent[d.Server.Instance], f.now)
 	}
 }
 
-// isCold reports whether the server is cold in truth, whatever nodes believe.
+// isCold reports whether the server is actually cold.
 func (f *warmupFleet) isCold(name string) bool { return f.now.Before(f.coldUntil[name]) }
 
-// busiest returns the most openings that any server got in a second while cold.
+// peakRate returns the most openings that any server got within a second while cold.
 func (f *warmupFleet) peakRate() (most int) {
 	for _, at := range f.sent {
 		first := 0
@@ -218,12 +220,12 @@
 	return most
 }
 
-// requireKept checks that no server got more than it is allowed.
+// requireWithinLimit checks that no server got more than is allowed.
 func (f *warmupFleet) requireWithinLimit() {
 	require.LessOrEqual(f.t, float64(f.peakRate()), excess*f.perSecond+slack)
 }
 
-// restart has a part of the servers start again, those of one zone or of all.
+// restart restarts each server with a probability of part quarters.
 func (f *warmupFleet) restart(servers, part int) {
 	for i := range servers {
 		if f.random.IntN(4) < part {
@@ -233,10 +235,10 @@
 	f.publish()
 }
 
-// Servers start again in herds, at the worst time: callers press, nodes are cut off from
-// all others, or from the store too, new ones join and hear the names of the rest little by little, zones are
-// drained and taken back. No cold server gets more requests in any second than it is
-// allowed, of all nodes together, though no node knows what the others send.
+// Servers restart in bulk while callers arrive, nodes are isolated from their peers and
+// partly from the store, new nodes join and learn the others' names gradually, and zones
+// are drained and returned. No cold server may get more requests from all nodes together
+// than is allowed in any second, though nodes don't know each other's rates.
 func TestWarmupRateLimit(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		nodes := rapid.SampledFrom([]int{3, 9, 84, 295, 490}).Draw(r, "Nodes")
@@ -261,7 +263,7 @@
 	})
 }
 
-// disturb has something happen at some steps.
+// injectEvent disturbs the fleet at certain steps.
 func (f *warmupFleet) injectEvent(r *rapid.T, step, servers, joins int) {
 	switch {
 	case step%20 == 10:
@@ -282,8 +284,8 @@
 	f.gossip(4)
 }
 
-// All servers of a service have started again, and callers ask for much more than they
-// bear. What they bear is used well, and the rest is refused at once.
+// All servers have restarted, and callers exceed what cold servers can take. Most of the
+// limit must be used, and the rest is refused at once.
 func TestWarmupUtilization(t *testing.T) {
 	for _, c := range []struct {
 		nodes     int
@@ -312,9 +314,9 @@
 	}
 }
 
-// A node that has just started, or that has heard of nobody though it was told whom to
-// join, doesn't know how many others send to a cold server. It sends nothing there: its
-// callers are refused, or go to servers that are warm.
+// A node that knows no peers' names, because it has just started or is isolated, can't know
+// its share of a cold server's limit. It must send nothing there: its callers are refused,
+// or served by warm servers.
 func TestWarmupUnknownPeers(t *testing.T) {
 	f := newWarmupFleet(t, 3, 1, 2, 10, 1)
 	f.restart(2, 4)
@@ -337,8 +339,8 @@
 	require.Zero(t, f.refused)
 }
 
-// The configuration tells no limit. Servers are slow after a start all the same: they get
-// flows from all nodes, half as many as others.
+// Without a configured limit, cold servers get flows from all nodes, only fewer than warm
+// ones.
 func TestWarmupNoLimit(t *testing.T) {
 	f := newWarmupFleet(t, 3, 1, 2, 0, 1)
 	f.restart(2, 4)
