--- a/bronzesteer/backend.go
+++ b/bronzesteer/backend.go
@@ -45,22 +45,22 @@
 
 // statsOf returns the statistics of a pool. The caller holds the lock.
 func (s *Steerer) statsOf(pool string) *poolStats {
-	t := s.poolStats[pool]
-	if t == nil {
-		t = &poolStats{}
-		s.poolStats[pool] = t
+	ps := s.poolStats[pool]
+	if ps == nil {
+		ps = &poolStats{}
+		s.poolStats[pool] = ps
 	}
-	return t
+	return ps
 }
 
 // removeUnrouted removes the state of endpoints and pools that no longer exist.
-func (s *Steerer) removeUnrouted(k *viewState) {
+func (s *Steerer) removeUnrouted(vs *viewState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.removeExemptLimits(k.view)
-	s.removeAccounts(k.view)
+	s.removeExemptLimits(vs.view)
+	s.removeAccounts(vs.view)
 	for pool := range s.poolStats {
-		if k.pools[pool] == nil {
+		if vs.pools[pool] == nil {
 			delete(s.poolStats, pool)
 		}
 	}
--- a/bronzesteer/evidence.go
+++ b/bronzesteer/evidence.go
@@ -81,7 +81,7 @@
 	silence := at - b.answeredAt
 	b.answeredAt = at
 	contradicts := b.reported && (avoided || b.unanswered > 0 || len(b.findings) > 0)
-	wrong := b.unanswered > 0 && at-b.firstUnanswered < maxAnswerDelay
+	falseSuspicion := b.unanswered > 0 && at-b.firstUnanswered < maxAnswerDelay
 	if len(b.findings) > 0 {
 		b.disputedAt = at
 	}
@@ -89,7 +89,7 @@
 	b.clearUnanswered()
 	b.avoidUntil, b.avoidFor = 0, 0
 	b.mu.Unlock()
-	if wrong {
+	if falseSuspicion {
 		s.health.recordFalseSuspicion(at)
 	}
 	if contradicts {
@@ -109,9 +109,9 @@
 	return b.unanswered > 0 && at-b.lastUnanswered < silenceMaxAge
 }
 
-// recordUnanswered records that what was sent to the server at sent has no answer at at. It
-// counts only if the server has answered nobody else meanwhile; otherwise a single packet
-// may have been lost.
+// recordUnanswered records that what was sent to the server at sent is still unanswered at
+// at. It counts only if the server has answered nobody since; otherwise just one packet may
+// have been lost.
 func (s *Steerer) recordUnanswered(b *backend, sent, at time.Duration, weight int) {
 	e, counts, begins := b.addUnanswered(sent, at, weight)
 	if counts {
@@ -176,18 +176,18 @@
 func (b *backend) lastAnswer() time.Duration { return max(b.answeredAt, b.peersAnsweredAt) }
 
 // ownFinding returns what this node has found since from. The caller holds the lock.
-func (b *backend) ownFinding(at time.Duration, near bool, from time.Duration) (f finding, ok bool) {
+func (b *backend) ownFinding(at time.Duration, sameZone bool, from time.Duration) (f finding, ok bool) {
 	if b.unanswered == 0 || at-b.lastUnanswered >= suspicionTimeout || b.lastAnswer() > b.firstUnanswered || b.firstUnanswered < from {
 		return f, false
 	}
 	return finding{
-		sameZone: near, openings: b.unansweredOpenings, requests: b.unanswered - b.unansweredOpenings, first: b.firstUnanswered, last: b.lastUnanswered,
+		sameZone: sameZone, openings: b.unansweredOpenings, requests: b.unanswered - b.unansweredOpenings, first: b.firstUnanswered, last: b.lastUnanswered,
 	}, true
 }
 
 // suspicion returns the combined findings of all nodes. The caller holds the lock.
-func (b *backend) suspicion(at time.Duration, near bool, from time.Duration) (u suspicion) {
-	if f, ok := b.ownFinding(at, near, from); ok {
+func (b *backend) suspicion(at time.Duration, sameZone bool, from time.Duration) (u suspicion) {
+	if f, ok := b.ownFinding(at, sameZone, from); ok {
 		u.add(f)
 	}
 	for node, f := range b.findings {
@@ -202,21 +202,21 @@
 
 // mergeFinding merges a peer's finding, and reports whether peers are to be told: either of
 // the finding or of an answer that contradicts it.
-func (s *Steerer) mergeFinding(b *backend, r *Report, at time.Duration) (news bool) {
+func (s *Steerer) mergeFinding(b *backend, r *Report, at time.Duration) (changed bool) {
 	f := finding{sameZone: r.SameZone, openings: r.Openings, requests: r.Requests, first: at - r.First, last: at - r.Last}
 	b.mu.Lock()
-	before, known := b.findings[r.Node]
+	earlier, known := b.findings[r.Node]
 	b.reported = true
 	switch {
 	case b.lastAnswer() > f.first:
 		b.disputedAt = at
-		news = b.refutedAt == 0 || at-b.refutedAt >= refuteInterval
-		if news {
+		changed = b.refutedAt == 0 || at-b.refutedAt >= refuteInterval
+		if changed {
 			b.refutedAt = at
 		}
 		b.mu.Unlock()
-		return news
-	case known && before.openings >= f.openings && before.requests >= f.requests, !known && len(b.findings) >= maxReporters:
+		return changed
+	case known && earlier.openings >= f.openings && earlier.requests >= f.requests, !known && len(b.findings) >= maxReporters:
 		b.mu.Unlock()
 		return false
 	}
@@ -237,31 +237,31 @@
 // that contradicts what is known here. Findings that remain must then wait for
 // contradicting answers as if they were new: while some nodes keep reporting a server that
 // answers others, there is always a finding that no answer has contradicted yet.
-func (s *Steerer) mergeAnswer(b *backend, goodAt, at time.Duration) (news bool) {
+func (s *Steerer) mergeAnswer(b *backend, answeredAt, at time.Duration) (changed bool) {
 	b.mu.Lock()
-	if goodAt <= b.lastAnswer() {
+	if answeredAt <= b.lastAnswer() {
 		b.mu.Unlock()
 		return false
 	}
-	b.peersAnsweredAt = goodAt
-	news = len(b.findings) > 0 || b.unanswered > 0
+	b.peersAnsweredAt = answeredAt
+	changed = len(b.findings) > 0 || b.unanswered > 0
 	for node, f := range b.findings {
-		if goodAt > f.first {
+		if answeredAt > f.first {
 			delete(b.findings, node)
 			b.disputedAt, b.suspectedAt = at, at
 		}
 	}
-	if goodAt > b.firstUnanswered {
+	if answeredAt > b.firstUnanswered {
 		b.clearUnanswered()
 	}
-	cleared := news && len(b.findings) == 0 && b.unanswered == 0 && b.avoidUntil > 0
+	cleared := changed && len(b.findings) == 0 && b.unanswered == 0 && b.avoidUntil > 0
 	if cleared {
 		b.avoidUntil, b.avoidFor = 0, 0
 	}
-	silence := goodAt - b.answeredAt
+	silence := answeredAt - b.answeredAt
 	b.mu.Unlock()
 	if cleared {
 		s.emit(Event{Kind: Cleared, Instance: b.instance, AvailabilityZone: b.zoneName, Silence: silence})
 	}
-	return news
+	return changed
 }
--- a/bronzesteer/failure.go
+++ b/bronzesteer/failure.go
@@ -12,8 +12,8 @@
 // servers look like a partition, and healthy servers there would lose their flows. A node
 // that isn't answered by any server reports false, since other nodes may still serve the
 // flows. The parameter waiting is set for a flow that itself waits for an answer.
-func (s *Steerer) unresponsive(b *backend, waits bool, at time.Duration) bool {
-	return s.canJudge(at) && (s.failed(b, waits, at) || b.recentlyUnanswered(at) && s.zoneUnreachable(b, at))
+func (s *Steerer) unresponsive(b *backend, waiting bool, at time.Duration) bool {
+	return s.canJudge(at) && (s.failed(b, waiting, at) || b.recentlyUnanswered(at) && s.zoneUnreachable(b, at))
 }
 
 // unavailable reports whether a new flow at the server would get no answer.
@@ -30,14 +30,14 @@
 // unanswered, and answered nobody meanwhile, neither this node nor, as far as reported, a
 // peer. Reports alone don't end a flow; this node must have something unanswered itself.
 // Without confirmation by peers, a longer silence is required.
-func (s *Steerer) failed(b *backend, waits bool, at time.Duration) bool {
+func (s *Steerer) failed(b *backend, waiting bool, at time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	f, ok := b.ownFinding(at, false, s.health.validFrom())
 	if !ok || !s.health.isHealthy(at) {
 		return false
 	}
-	if at-f.first >= minOwnSilence && s.failedByFleet(b, waits, at) {
+	if at-f.first >= minOwnSilence && s.failedByFleet(b, waiting, at) {
 		return true
 	}
 	u := suspicion{}
@@ -50,10 +50,10 @@
 // finding must come from the server's zone: otherwise the server may be healthy behind a
 // partition. A flow that itself waits for an answer needs less time. The caller holds the
 // server's lock.
-func (s *Steerer) failedByFleet(b *backend, waits bool, at time.Duration) bool {
+func (s *Steerer) failedByFleet(b *backend, waiting bool, at time.Duration) bool {
 	u := b.suspicion(at, b.zoneName == s.AvailabilityZone, s.health.validFrom())
 	return u.reporters >= minReporters && u.sameZone && u.openings > 0 && u.total >= s.minFleetEvidence() &&
-		at-u.first >= minSilence && at-b.suspectedAt >= s.propagationTime(waits)
+		at-u.first >= minSilence && at-b.suspectedAt >= s.propagationTime(waiting)
 }
 
 // presumedFailed reports whether new flows have no chance at the server: it has failed, or
@@ -83,16 +83,16 @@
 // propagationTime returns how long it takes for nearly all nodes to learn of a finding, and
 // for a contradicting answer to come back. A flow that itself waits for an answer needs
 // only half of it.
-func (s *Steerer) propagationTime(waits bool) time.Duration {
+func (s *Steerer) propagationTime(waiting bool) time.Duration {
 	if !s.isLargeFleet() {
 		return 0
 	}
 	steps := math.Ceil(math.Log(float64(s.peers.Load()+1)) / math.Log(gossipFanout+1))
-	there := max(time.Duration(steps)*gossipStep, minPropagation)
-	if waits {
-		return there
+	oneWay := max(time.Duration(steps)*gossipStep, minPropagation)
+	if waiting {
+		return oneWay
 	}
-	return 2 * there
+	return 2 * oneWay
 }
 
 // requiredSilence returns how long a server must have been silent for this node to rely on
--- a/bronzesteer/flow.go
+++ b/bronzesteer/flow.go
@@ -177,10 +177,10 @@
 // restarted or has failed, and those with a pending request that may be retried at a server
 // that has failed. Their callers would otherwise notice only with their next request, which
 // would be lost if it must not be retried.
-func (s *Steerer) Sweep(now time.Time) (endings []EndedFlow) {
+func (s *Steerer) Sweep(now time.Time) (ended []EndedFlow) {
 	s.init()
-	k := s.state.Load()
-	if k == nil {
+	vs := s.state.Load()
+	if vs == nil {
 		return nil
 	}
 	at := s.sinceStart(now)
@@ -188,15 +188,15 @@
 	lost := s.failedServers(at)
 	if at-s.loadsUpdatedAt >= loadInterval {
 		if !s.recordsUnconfirmed.Load() {
-			k.addGoneServers(lost)
+			vs.addGoneServers(lost)
 		}
 		s.expireReported(at)
-		s.updateLoads(k, at)
+		s.updateLoads(vs, at)
 	}
 	for i := range s.shards {
-		endings = append(endings, s.shards[i].sweep(at, now, lost)...)
+		ended = append(ended, s.shards[i].sweep(at, now, lost)...)
 	}
-	return endings
+	return ended
 }
 
 // loss is why a server's flows are ended. If certain is set, also those are ended that
@@ -223,15 +223,15 @@
 }
 
 // addGoneServers adds the servers that no longer exist.
-func (k *viewState) addGoneServers(lost map[*backend]loss) {
-	for _, m := range k.members {
+func (vs *viewState) addGoneServers(lost map[*backend]loss) {
+	for _, m := range vs.members {
 		if m.server.Status == bronzeroute.Gone {
 			lost[m.backend] = loss{reason: ServerGone, certain: true}
 		}
 	}
 }
 
-func (sh *shard) sweep(at time.Duration, now time.Time, lost map[*backend]loss) (endings []EndedFlow) {
+func (sh *shard) sweep(at time.Duration, now time.Time, lost map[*backend]loss) (endedFlows []EndedFlow) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	for key, f := range sh.flows {
@@ -249,13 +249,13 @@
 		}
 		if ended && f.open && f.mayReset(l, at) {
 			p := Packet{Key: key, Token: f.token, Sequence: f.sequence, Acknowledged: f.acknowledged}
-			endings = append(endings, EndedFlow{Packet: p, Instance: f.backend.instance, Reason: l.reason})
+			endedFlows = append(endedFlows, EndedFlow{Packet: p, Instance: f.backend.instance, Reason: l.reason})
 			sh.remove(key)
 			continue
 		}
 		f.checkOverdue(at)
 	}
-	return endings
+	return endedFlows
 }
 
 // checkOverdue records the age of an unanswered request as a lower bound of the server's
--- a/bronzesteer/hedge.go
+++ b/bronzesteer/hedge.go
@@ -127,13 +127,13 @@
 // Hedges returns the openings to be sent to further servers at now. All packets received
 // before must have been handled: an answer still queued in a delayed node isn't overdue.
 func (s *Steerer) Hedges(now time.Time) (list []Hedge) {
-	k := s.state.Load()
-	if k == nil {
+	vs := s.state.Load()
+	if vs == nil {
 		return nil
 	}
 	at := s.sinceStart(now)
 	for _, o := range s.hedges.popDue(at) {
-		if h, ok := s.hedge(k, o, at, now); ok {
+		if h, ok := s.hedge(vs, o, at, now); ok {
 			list = append(list, h)
 		}
 	}
@@ -141,9 +141,9 @@
 }
 
 // hedge sends one opening to a further server, if one can take it in time.
-func (s *Steerer) hedge(k *viewState, o *pendingOpening, at time.Duration, now time.Time) (h Hedge, ok bool) {
+func (s *Steerer) hedge(vs *viewState, o *pendingOpening, at time.Duration, now time.Time) (h Hedge, ok bool) {
 	p := Packet{Key: o.key, Open: true, Bytes: o.bytes}
-	route := k.view.Route(o.key.ServiceAddrPort())
+	route := vs.view.Route(o.key.ServiceAddrPort())
 	sh := s.shard(&p)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
@@ -151,24 +151,24 @@
 	if route == nil || f == nil || f.pending != o || f.open {
 		return h, false
 	}
-	asked := f.backend
-	s.recordUnanswered(asked, f.sentAt(f.openedAt), at, openingWeight)
-	next := s.place(k, route, &p, asked, at, now)
+	tried := f.backend
+	s.recordUnanswered(tried, f.sentAt(f.openedAt), at, openingWeight)
+	next := s.place(vs, route, &p, tried, at, now)
 	if next.server == nil || next.tier <= tierAvoided {
 		return h, false
 	}
 	// An overloaded pool must not get additional openings.
-	takes := time.Duration(next.inFlightPerSlot * float64(next.backend.stats.serviceTime()))
-	if shedFraction(takes, route.Objective) > 0 || !s.hedges.takeBudget() {
+	delay := time.Duration(next.inFlightPerSlot * float64(next.backend.stats.serviceTime()))
+	if shedFraction(delay, route.Objective) > 0 || !s.hedges.takeBudget() {
 		return h, false
 	}
-	f.retry(next, k.view.Token(route.Service, next.server), at)
+	f.retry(next, vs.view.Token(route.Service, next.server), at)
 	o.hedges++
-	if patience := s.hedgeDelay(next.backend); o.hedges < maxHedges && patience <= maxHedgeDelay {
-		o.due = at + patience
+	if hedgeDelay := s.hedgeDelay(next.backend); o.hedges < maxHedges && hedgeDelay <= maxHedgeDelay {
+		o.due = at + hedgeDelay
 		s.hedges.push(o)
 	}
-	d := Decision{Kind: Forward, Reason: Hedged, Server: next.server, Token: f.token, Tried: k.view.ByName(asked.instance)}
+	d := Decision{Kind: Forward, Reason: Hedged, Server: next.server, Token: f.token, Tried: vs.view.ByName(tried.instance)}
 	return Hedge{Packet: p, Decision: d}, true
 }
 
@@ -178,10 +178,10 @@
 	if len(p.Bytes) == 0 {
 		return
 	}
-	patience := s.hedgeDelay(f.backend)
-	o := &pendingOpening{key: p.Key, bytes: append([]byte(nil), p.Bytes...), first: f.backend, due: at + patience}
+	hedgeDelay := s.hedgeDelay(f.backend)
+	o := &pendingOpening{key: p.Key, bytes: append([]byte(nil), p.Bytes...), first: f.backend, due: at + hedgeDelay}
 	f.pending = o
-	if patience <= maxHedgeDelay {
+	if hedgeDelay <= maxHedgeDelay {
 		s.hedges.push(o)
 	}
 }
@@ -226,12 +226,12 @@
 		z.handshakeTime, z.deviation = took, took/2
 		return
 	}
-	off := took - z.handshakeTime
-	z.handshakeTime += time.Duration(handshakeWeight * float64(off))
-	change := max(off, -off) - z.deviation
-	part := deviationFallWeight
+	diff := took - z.handshakeTime
+	z.handshakeTime += time.Duration(handshakeWeight * float64(diff))
+	change := max(diff, -diff) - z.deviation
+	weight := deviationFallWeight
 	if change > 0 {
-		part = deviationRiseWeight
+		weight = deviationRiseWeight
 	}
-	z.deviation += time.Duration(part * float64(change))
+	z.deviation += time.Duration(weight * float64(change))
 }
--- a/bronzesteer/latency.go
+++ b/bronzesteer/latency.go
@@ -9,7 +9,7 @@
 	// minLatencyWeight is the least weight of one sample in the average latency, and
 	// latencyTimeConstant the time after which earlier samples have lost most of their
 	// weight. In a large fleet, a node sees an answer of a server only every few seconds:
-	// with a fixed weight it would learn too late that the server has become slow.
+	// with the least weight alone it would learn too late that the server has become slow.
 	minLatencyWeight    = 0.1
 	latencyTimeConstant = time.Second
 	// An answer that takes less than 1/fastFailureRatio of the usual time counts as
@@ -103,8 +103,8 @@
 }
 
 // updateLatency updates the average latency by one sample.
-func (r *latencyStats) updateLatency(took, at time.Duration) {
-	part := max(minLatencyWeight, 1-math.Exp(-float64(at-r.observedAt)/float64(latencyTimeConstant)))
-	r.latency += time.Duration(part * float64(took-r.latency))
-	r.observedAt = at
+func (l *latencyStats) updateLatency(took, at time.Duration) {
+	weight := max(minLatencyWeight, 1-math.Exp(-float64(at-l.observedAt)/float64(latencyTimeConstant)))
+	l.latency += time.Duration(weight * float64(took-l.latency))
+	l.observedAt = at
 }
--- a/bronzesteer/load.go
+++ b/bronzesteer/load.go
@@ -53,8 +53,8 @@
 // Loads returns the load that this node puts on servers, for its peers, as of the last
 // update by Sweep. The caller must not change it.
 func (s *Steerer) Loads() []Load {
-	if told := s.ownLoads.Load(); told != nil {
-		return *told
+	if loads := s.ownLoads.Load(); loads != nil {
+		return *loads
 	}
 	return nil
 }
@@ -83,27 +83,27 @@
 }
 
 // SetPeerCount sets the number of other nodes.
-func (s *Steerer) SetPeerCount(others int) {
-	s.peers.Store(int64(others))
+func (s *Steerer) SetPeerCount(peers int) {
+	s.peers.Store(int64(peers))
 }
 
 // updateLoads decays rates and sums the loads of peers. If only some peers have reported
 // recently, their loads are scaled up to all.
-func (s *Steerer) updateLoads(k *viewState, at time.Duration) {
-	sums, heard := s.sumLoads(at)
+func (s *Steerer) updateLoads(vs *viewState, at time.Duration) {
+	sums, reporting := s.sumLoads(at)
 	scale := 1.0
-	if others := s.peers.Load(); heard > 0 && int(others) > heard {
-		scale = float64(others) / float64(heard)
+	if peers := s.peers.Load(); reporting > 0 && int(peers) > reporting {
+		scale = float64(peers) / float64(reporting)
 	}
 	passed := at - s.loadsUpdatedAt
-	rest := math.Exp(-float64(passed) / float64(rateTimeConstant))
+	decay := math.Exp(-float64(passed) / float64(rateTimeConstant))
 	s.loadsUpdatedAt = at
-	var told []Load
-	for _, m := range k.members {
+	var loads []Load
+	for _, m := range vs.members {
 		server, b := m.server, m.backend
 		b.mu.Lock()
 		b.decayLatency(passed)
-		b.rate *= rest
+		b.rate *= decay
 		rate := b.rate
 		sum := sums[shortID(server)]
 		b.peerRate = scale * sum.rate
@@ -111,16 +111,16 @@
 		latency := b.latency
 		b.mu.Unlock()
 		if rate >= minReportedRate {
-			told = append(told, Load{Server: shortID(server), Rate: rate, Latency: latency})
+			loads = append(loads, Load{Server: shortID(server), Rate: rate, Latency: latency})
 		}
 	}
-	s.storeLoads(told)
-	s.updateMedianLatency(k)
+	s.storeLoads(loads)
+	s.updateMedianLatency(vs)
 }
 
 // updateMedianLatency updates the median latency of each pool.
-func (s *Steerer) updateMedianLatency(k *viewState) {
-	for _, p := range k.pools {
+func (s *Steerer) updateMedianLatency(vs *viewState) {
+	for _, p := range vs.pools {
 		if len(p.members) > 0 {
 			p.members[0].backend.stats.medianLatency.Store(int64(medianLatency(s.sampleMembers(p.members, latencySample))))
 		}
@@ -151,7 +151,7 @@
 }
 
 // sumLoads sums the recent loads of peers by server, and counts these peers.
-func (s *Steerer) sumLoads(at time.Duration) (sums map[uint32]loadSum, heard int) {
+func (s *Steerer) sumLoads(at time.Duration) (sums map[uint32]loadSum, reporting int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	sums = make(map[uint32]loadSum)
@@ -160,14 +160,14 @@
 			delete(s.peerLoads, node)
 			continue
 		}
-		heard++
+		reporting++
 		for _, l := range n.loads {
 			sum := sums[l.Server]
 			sum.add(l)
 			sums[l.Server] = sum
 		}
 	}
-	return sums, heard
+	return sums, reporting
 }
 
 // utilization returns the fraction of the server's slots in use at the given latency. The
--- a/bronzesteer/localhealth.go
+++ b/bronzesteer/localhealth.go
@@ -7,9 +7,9 @@
 
 // localHealth tells whether the node's own findings can be trusted. They can't while its
 // link or processor is overloaded, or after it was paused: packets are then delayed in both
-// directions, and healthy servers seem silent. An upload of 80 KB takes a node with 10
-// Mbit/s 65 ms, enough to end idle flows at a server that answered other nodes. All methods
-// may be called concurrently.
+// directions, and healthy servers seem silent. Without this check, a node with 10 Mbit/s,
+// which takes 65 ms for each upload of 80 KB, ends idle flows at servers that answer other
+// nodes. All methods may be called concurrently.
 type localHealth struct {
 	mu sync.Mutex
 	// falseSuspicions holds the times of the latest answers that refuted a finding made
@@ -32,38 +32,38 @@
 )
 
 // isHealthy reports whether the node's findings are to be trusted.
-func (f *localHealth) isHealthy(at time.Duration) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	oldest := f.falseSuspicions[0]
-	return (oldest == 0 || at-oldest >= unhealthyTime) && at >= f.delayedUntil && at >= f.suspendedUntil
+func (h *localHealth) isHealthy(at time.Duration) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	oldest := h.falseSuspicions[0]
+	return (oldest == 0 || at-oldest >= unhealthyTime) && at >= h.delayedUntil && at >= h.suspendedUntil
 }
 
 // recordFalseSuspicion records that a server has answered that was just found silent.
-func (f *localHealth) recordFalseSuspicion(at time.Duration) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	copy(f.falseSuspicions[:], f.falseSuspicions[1:])
-	f.falseSuspicions[falseSuspicionLimit-1] = at
+func (h *localHealth) recordFalseSuspicion(at time.Duration) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	copy(h.falseSuspicions[:], h.falseSuspicions[1:])
+	h.falseSuspicions[falseSuspicionLimit-1] = at
 }
 
 // recordDelay records that packets have been delayed in this node.
-func (f *localHealth) recordDelay(at time.Duration) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.delayedUntil = at + unhealthyTime
+func (h *localHealth) recordDelay(at time.Duration) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.delayedUntil = at + unhealthyTime
 }
 
 // suspend suspends failure detection for settleTime.
-func (f *localHealth) suspend(at time.Duration) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.suspendedUntil = at + settleTime
+func (h *localHealth) suspend(at time.Duration) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.suspendedUntil = at + settleTime
 }
 
 // validFrom returns since when the node's findings count.
-func (f *localHealth) validFrom() time.Duration {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.suspendedUntil
+func (h *localHealth) validFrom() time.Duration {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.suspendedUntil
 }
--- a/bronzesteer/packet.go
+++ b/bronzesteer/packet.go
@@ -139,8 +139,8 @@
 	// Server and Token are set if Kind is Forward.
 	Server *bronzeroute.Server
 	Token  uint32
-	// Tried is the flow's previous server if Reason is Retried, Hedged, ServerGone or
-	// ServerSilent. If Reason is NoneAnswers or Overloaded, it is the server that would
+	// Tried, if set, is the flow's previous server if Reason is Retried, Hedged, ServerGone
+	// or ServerSilent. If Reason is NoneAnswers or Overloaded, it is the server that would
 	// have been chosen, and if it is ZoneDrained or ServersCold, the one that was sent the
 	// opening before.
 	Tried *bronzeroute.Server
--- a/bronzesteer/pause.go
+++ b/bronzesteer/pause.go
@@ -20,17 +20,17 @@
 // Failure detection is suspended for two seconds from now. Until RecordsConfirmed is
 // called, no flow is ended by the records, which may have changed meanwhile: packets that
 // old records would have refused are dropped, and their callers retransmit them.
-func (s *Steerer) Paused(now time.Time) (aside Discarded) {
+func (s *Steerer) Paused(now time.Time) (discarded Discarded) {
 	s.init()
 	at := s.sinceStart(now)
 	s.health.suspend(at)
 	s.recordsUnconfirmed.Store(true)
 	s.hedges.clear()
 	for i := range s.shards {
-		s.shards[i].discardPending(&aside, at)
+		s.shards[i].discardPending(&discarded, at)
 	}
-	aside.Findings = s.discardFindings()
-	return aside
+	discarded.Findings = s.discardFindings()
+	return discarded
 }
 
 // RecordsConfirmed tells the Steerer that the records in force are known to be up to date
@@ -39,17 +39,17 @@
 
 // discardPending discards what the shard's flows wait for. Unanswered openings stay
 // tracked, since their callers may continue with the server that was tried.
-func (sh *shard) discardPending(aside *Discarded, at time.Duration) {
+func (sh *shard) discardPending(discarded *Discarded, at time.Duration) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	for _, f := range sh.flows {
 		switch {
 		case !f.open:
-			aside.Openings++
+			discarded.Openings++
 			f.retriedAt = at
 			f.dropPending()
 		case f.requestAt != 0:
-			aside.Requests++
+			discarded.Requests++
 			f.finishRequest()
 			f.requestAt, f.countedUnanswered = 0, false
 		}
--- a/bronzesteer/pause_test.go
+++ b/bronzesteer/pause_test.go
@@ -9,7 +9,7 @@
 )
 
 // pause advances the clock without running the node.
-func (s *site) pause(d time.Duration) (aside Discarded) {
+func (s *site) pause(d time.Duration) (discarded Discarded) {
 	s.now = s.now.Add(d)
 	return s.node.Paused(s.now)
 }
@@ -40,8 +40,8 @@
 	for range 3 {
 		s.open(live)
 	}
-	aside := s.pause(5 * time.Second)
-	require.Equal(t, Discarded{Openings: 3, Requests: 3}, aside)
+	discarded := s.pause(5 * time.Second)
+	require.Equal(t, Discarded{Openings: 3, Requests: 3}, discarded)
 	require.Empty(t, s.nextHedges())
 	require.Equal(t, Forward, waiting[0].retransmitRequest().Kind)
 	for range 8 {
--- a/bronzesteer/place.go
+++ b/bronzesteer/place.go
@@ -35,7 +35,8 @@
 	maxSlowdown = 10
 )
 
-// tier ranks servers. A server is chosen only if there is none of a higher tier.
+// tier ranks servers. A server is chosen only if there is none of a higher tier, except
+// that flows may leave the own zone for other zones of the region.
 type tier uint8
 
 const (
@@ -80,9 +81,9 @@
 
 // place chooses the server for a new flow, other than the one already tried. The choice is
 // empty if there is none. For a cold server it takes the opening from its warm-up limit.
-func (s *Steerer) place(k *viewState, route *bronzeroute.Route, p *Packet, tried *backend, at time.Duration, now time.Time) choice {
+func (s *Steerer) place(vs *viewState, route *bronzeroute.Route, p *Packet, tried *backend, at time.Duration, now time.Time) choice {
 	for {
-		c := s.chooseServer(k, route, p, tried, at, now)
+		c := s.chooseServer(vs, route, p, tried, at, now)
 		if c.server == nil || !s.isRateLimited(c.server, now) || s.takeColdSend(c.server, c.backend, at) {
 			return c
 		}
@@ -93,21 +94,21 @@
 // chooseServer returns the best server for a flow. The pool is chosen by the route's
 // weights; if none of its servers can be used, another pool of the route with a better one
 // is.
-func (s *Steerer) chooseServer(k *viewState, route *bronzeroute.Route, p *Packet, tried *backend, at time.Duration, now time.Time) choice {
+func (s *Steerer) chooseServer(vs *viewState, route *bronzeroute.Route, p *Packet, tried *backend, at time.Duration, now time.Time) choice {
 	pool, ok := route.Pick(p.Key.Hash())
 	if !ok {
 		return choice{}
 	}
-	best := s.chooseFromPool(k.pools[pool], tried, at, now)
+	best := s.chooseFromPool(vs.pools[pool], tried, at, now)
 	for i := range route.Pools {
 		if best.tier > tierAvoided {
 			break
 		}
-		share := &route.Pools[i]
-		if share.Weight <= 0 || share.Pool == pool {
+		weighted := &route.Pools[i]
+		if weighted.Weight <= 0 || weighted.Pool == pool {
 			continue
 		}
-		if c := s.chooseFromPool(k.pools[share.Pool], tried, at, now); c.tier > best.tier {
+		if c := s.chooseFromPool(vs.pools[weighted.Pool], tried, at, now); c.tier > best.tier {
 			best = c
 		}
 	}
@@ -121,7 +122,7 @@
 	}
 	// Both arrays stay on the stack, so that openings don't allocate here.
 	var candidates [maxFullScan]candidate
-	var drawn [ownZoneSample + otherZonesSample]member
+	var sampled [ownZoneSample + otherZonesSample]member
 	if len(p.members) <= maxFullScan {
 		sum := s.newSummary(p, at)
 		list := s.candidates(candidates[:0], p.members, tried, sum, at, now)
@@ -131,7 +132,7 @@
 		return s.pickCandidate(list, sum)
 	}
 	sum := s.summary(p, at, now)
-	c := s.pickCandidate(s.candidates(candidates[:0], s.samplePool(drawn[:0], p), tried, sum, at, now), sum)
+	c := s.pickCandidate(s.candidates(candidates[:0], s.samplePool(sampled[:0], p), tried, sum, at, now), sum)
 	if c.tier <= tierAvoided {
 		c = s.pickCandidate(s.candidates(candidates[:0], p.members, tried, sum, at, now), sum)
 	}
@@ -204,9 +205,9 @@
 	if own.slots == 0 || own.slots == all.slots {
 		return false
 	}
-	used := own.used / own.slots
+	utilization := own.used / own.slots
 	bound := max(idleUtilization, maxZoneImbalance*all.used/all.slots)
-	return used > bound && s.randomFloat() > bound/used
+	return utilization > bound && s.randomFloat() > bound/utilization
 }
 
 // randomFloat returns a number in [0, 1).
@@ -220,8 +221,8 @@
 // randomSteps is the resolution of randomFloat if it uses Random.
 const randomSteps = 1 << 20
 
-// mayAvoid reports whether few enough of the pool's servers are avoided to go on avoiding
-// them.
+// mayAvoid reports whether so few of the pool's servers seem silent that these may be
+// avoided.
 func (s *Steerer) mayAvoid(members []member, at time.Duration) bool {
 	serving, avoided := 0, 0
 	for _, m := range members {
@@ -287,15 +288,15 @@
 	if !server.Warm(now) {
 		slots *= coldSlotFraction
 	}
-	slow := 1.0
+	slowdown := 1.0
 	if own := b.fleetLatency(); own > latency {
-		slow = min(float64(own)/float64(latency), maxSlowdown)
+		slowdown = min(float64(own)/float64(latency), maxSlowdown)
 	}
-	work := float64(b.inFlight + b.openings)
+	inFlight := float64(b.inFlight + b.openings)
 	return candidate{
 		server: server, backend: b, tier: t, slots: slots,
-		utilization: (b.rate + b.peerRate) * latency.Seconds() * slow / slots,
-		load:        (1 + work) * slow / slots,
-		inFlight:    work, rate: b.rate, peerRate: b.peerRate,
+		utilization: (b.rate + b.peerRate) * latency.Seconds() * slowdown / slots,
+		load:        (1 + inFlight) * slowdown / slots,
+		inFlight:    inFlight, rate: b.rate, peerRate: b.peerRate,
 	}
 }
--- a/bronzesteer/place_test.go
+++ b/bronzesteer/place_test.go
@@ -236,8 +236,8 @@
 func TestPlaceUsesPeerLatency(t *testing.T) {
 	s := newSite(t, 2)
 	s.serveN(4, live)
-	k := s.node.state.Load()
-	slow, quick := k.backendOf(s.node.View().ByName("a-0"), nil), k.backendOf(s.node.View().ByName("a-1"), nil)
+	vs := s.node.state.Load()
+	slow, quick := vs.backendOf(s.node.View().ByName("a-0"), nil), vs.backendOf(s.node.View().ByName("a-1"), nil)
 	s.node.SetPeerCount(60)
 	for node := range 20 {
 		s.node.SetLoads(string(rune('A'+node)), []Load{
@@ -289,8 +289,8 @@
 // They must not count as failures.
 func TestFastServerBesideSlowOne(t *testing.T) {
 	s := newSite(t, 2)
-	k := s.node.state.Load()
-	slow, quick := k.backendOf(s.node.View().ByName("a-0"), nil), k.backendOf(s.node.View().ByName("a-1"), nil)
+	vs := s.node.state.Load()
+	slow, quick := vs.backendOf(s.node.View().ByName("a-0"), nil), vs.backendOf(s.node.View().ByName("a-1"), nil)
 	for i := range 20 {
 		slow.observeLatency(300*time.Millisecond, time.Minute)
 		quick.observeLatency(20*time.Millisecond, time.Minute)
--- a/bronzesteer/pool.go
+++ b/bronzesteer/pool.go
@@ -57,8 +57,8 @@
 type usage struct{ used, slots float64 }
 
 // add adds a member while the pool is being built.
-func (p *pool) add(m member, ofOwnZone bool) {
-	if !ofOwnZone {
+func (p *pool) add(m member, inOwnZone bool) {
+	if !inOwnZone {
 		p.otherZones = append(p.otherZones, m)
 		return
 	}
--- a/bronzesteer/probe.go
+++ b/bronzesteer/probe.go
@@ -45,7 +45,7 @@
 
 // probe returns the server that an opening is to probe in place of the chosen one. The
 // opening must be one that can be hedged soon; ok is false if there is no such server.
-func (s *Steerer) probe(k *viewState, chosen choice, p *Packet, now time.Time) (c choice, ok bool) {
+func (s *Steerer) probe(vs *viewState, chosen choice, p *Packet, now time.Time) (c choice, ok bool) {
 	if chosen.tier <= tierAvoided || len(p.Bytes) == 0 {
 		return c, false
 	}
@@ -53,7 +53,7 @@
 	if b == nil || s.hedgeDelay(b) > maxHedgeDelay {
 		return c, false
 	}
-	server := k.view.ByName(b.instance)
+	server := vs.view.ByName(b.instance)
 	if server == nil || server.Status != bronzeroute.Serving || s.isRateLimited(server, now) {
 		return c, false
 	}
--- a/bronzesteer/refuse.go
+++ b/bronzesteer/refuse.go
@@ -10,10 +10,11 @@
 
 const (
 	// exemptRate and exemptBurst are the rate per second and the burst of openings of each
-	// endpoint that are never refused by load. An endpoint with few callers isn't what
-	// overloads a pool, so that its callers don't pay for those of others; and the openings
-	// let through show when a partition has healed. At five per second, the openings of six
-	// nodes filled the queues within the first seconds of a surge.
+	// endpoint that are never refused as NoneAnswers or Overloaded. An endpoint with few
+	// callers isn't what overloads a pool, so that its callers don't pay for those of
+	// others; and the openings let through show when a partition has healed. At five per
+	// second from each of six nodes, they would fill the queues within the first seconds of
+	// a surge.
 	exemptRate  = 1
 	exemptBurst = 3
 )
@@ -23,17 +24,17 @@
 //
 // Only the first transmission of an opening is refused. An earlier one may have reached a
 // server that has accepted it, and the reset would end an open flow.
-func (s *Steerer) refusal(k *viewState, route *bronzeroute.Route, p *Packet, c choice, now time.Time) (d Decision, ok bool) {
+func (s *Steerer) refusal(vs *viewState, route *bronzeroute.Route, p *Packet, c choice, now time.Time) (d Decision, ok bool) {
 	if p.Retransmits > 0 {
 		return d, false
 	}
-	takes := time.Duration(c.inFlightPerSlot * float64(c.backend.stats.serviceTime()))
-	part := shedFraction(takes, route.Objective)
-	d = Decision{Kind: End, Tried: c.server, ExpectedDelay: takes}
+	delay := time.Duration(c.inFlightPerSlot * float64(c.backend.stats.serviceTime()))
+	fraction := shedFraction(delay, route.Objective)
+	d = Decision{Kind: End, Tried: c.server, ExpectedDelay: delay}
 	switch {
-	case c.tier <= tierAvoided && s.noneAnswers(k, route, s.sinceStart(now)):
+	case c.tier <= tierAvoided && s.noneAnswers(vs, route, s.sinceStart(now)):
 		d.Reason = NoneAnswers
-	case part > 0 && s.randomFloat() < part:
+	case fraction > 0 && s.randomFloat() < fraction:
 		d.Reason = Overloaded
 	default:
 		return d, false
@@ -44,8 +45,8 @@
 // refuseNoServer refuses an opening that no server may take. A retransmission is dropped
 // instead where the route has servers: one of them may have accepted the opening a moment
 // ago.
-func (s *Steerer) refuseNoServer(k *viewState, route *bronzeroute.Route, p *Packet, now time.Time) Decision {
-	d := Decision{Kind: End, Reason: s.noServerReason(k, route, now)}
+func (s *Steerer) refuseNoServer(vs *viewState, route *bronzeroute.Route, p *Packet, now time.Time) Decision {
+	d := Decision{Kind: End, Reason: s.noServerReason(vs, route, now)}
 	if d.Reason != NoServer && p.Retransmits > 0 {
 		d.Kind = Drop
 	}
@@ -53,13 +54,13 @@
 }
 
 // noServerReason returns why no server of a route may take a flow.
-func (s *Steerer) noServerReason(k *viewState, route *bronzeroute.Route, now time.Time) (r Reason) {
+func (s *Steerer) noServerReason(vs *viewState, route *bronzeroute.Route, now time.Time) (r Reason) {
 	r = NoServer
 	for i := range route.Pools {
 		if route.Pools[i].Weight <= 0 {
 			continue
 		}
-		for _, m := range k.membersOf(route.Pools[i].Pool) {
+		for _, m := range vs.membersOf(route.Pools[i].Pool) {
 			switch {
 			case m.server.ZoneDrained && !m.server.Draining:
 				r = ZoneDrained
@@ -74,13 +75,13 @@
 // noneAnswers reports whether all servers that may take a flow of the route are
 // unavailable, as in a partitioned zone without a server of the pool. A caller would wait
 // 1.4 s in vain with each try.
-func (s *Steerer) noneAnswers(k *viewState, route *bronzeroute.Route, at time.Duration) bool {
+func (s *Steerer) noneAnswers(vs *viewState, route *bronzeroute.Route, at time.Duration) bool {
 	for i := range route.Pools {
-		share := &route.Pools[i]
-		if share.Weight <= 0 {
+		weighted := &route.Pools[i]
+		if weighted.Weight <= 0 {
 			continue
 		}
-		for _, m := range k.membersOf(share.Pool) {
+		for _, m := range vs.membersOf(weighted.Pool) {
 			if m.server.Status != bronzeroute.Draining && !s.unavailable(m.backend, at) {
 				return false
 			}
@@ -90,7 +91,7 @@
 }
 
 // isExempt reports whether the opening is one of those of its endpoint that are never
-// refused by load.
+// refused as NoneAnswers or Overloaded, and counts it.
 func (s *Steerer) isExempt(route *bronzeroute.Route, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/bronzesteer/report.go
+++ b/bronzesteer/report.go
@@ -56,18 +56,18 @@
 func (s *Steerer) Reports(all bool, now time.Time) (list []Report) {
 	s.init()
 	at := s.sinceStart(now)
-	var over []*backend
+	var done []*backend
 	for _, b := range s.suspectsToReport(all) {
-		told, later := s.reportsOf(b, at)
+		reports, later := s.reportsOf(b, at)
 		switch {
 		case later && !all:
 			s.requeueReport(b)
-		case len(told) == 0 && !later:
-			over = append(over, b)
+		case len(reports) == 0 && !later:
+			done = append(done, b)
 		}
-		list = append(list, told...)
+		list = append(list, reports...)
 	}
-	s.removeSuspects(over)
+	s.removeSuspects(done)
 	return s.limitReports(list)
 }
 
@@ -137,16 +137,16 @@
 	return list
 }
 
-func (s *Steerer) removeSuspects(over []*backend) {
-	if len(over) == 0 {
+func (s *Steerer) removeSuspects(done []*backend) {
+	if len(done) == 0 {
 		return
 	}
 	s.mu.Lock()
-	for _, b := range over {
+	for _, b := range done {
 		delete(s.suspects, b)
 	}
 	s.mu.Unlock()
-	for _, b := range over {
+	for _, b := range done {
 		b.mu.Lock()
 		b.reported = false
 		b.mu.Unlock()
@@ -156,10 +156,10 @@
 // reportsOf returns the reports of one server, and whether there is something to be
 // reported later.
 func (s *Steerer) reportsOf(b *backend, at time.Duration) (list []Report, later bool) {
-	near := b.zoneName == s.AvailabilityZone
+	sameZone := b.zoneName == s.AvailabilityZone
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if f, ok := b.ownFinding(at, near, s.health.validFrom()); ok && s.health.isHealthy(at) {
+	if f, ok := b.ownFinding(at, sameZone, s.health.validFrom()); ok && s.health.isHealthy(at) {
 		if later = s.isLargeFleet() && at-f.first < reportDelay; !later {
 			list = append(list, f.report(b.shortID, s.Node, at))
 			b.reported = true
@@ -175,7 +175,7 @@
 		return list[:min(len(list), maxReportsPerServer)], later
 	}
 	list = list[:min(len(list), maxReportsPerServer-1)]
-	answer := Report{Server: b.shortID, Node: s.Node, SameZone: near, Answered: true, Last: at - b.lastAnswer()}
+	answer := Report{Server: b.shortID, Node: s.Node, SameZone: sameZone, Answered: true, Last: at - b.lastAnswer()}
 	return append(list, answer), later
 }
 
@@ -213,15 +213,15 @@
 // by Reports.
 func (s *Steerer) MergeReports(reports []Report, now time.Time) {
 	s.init()
-	k := s.state.Load()
-	if k == nil || len(reports) == 0 {
+	vs := s.state.Load()
+	if vs == nil || len(reports) == 0 {
 		return
 	}
 	at := s.sinceStart(now)
 	for i := range reports {
-		for _, m := range k.members {
+		for _, m := range vs.members {
 			if m.backend.shortID == reports[i].Server {
-				s.mergeReport(m.backend, &reports[i], len(k.members), at)
+				s.mergeReport(m.backend, &reports[i], len(vs.members), at)
 			}
 		}
 	}
@@ -232,14 +232,14 @@
 	if r.Node == s.Node || r.Last < 0 || r.Last >= suspicionTimeout {
 		return
 	}
-	news := false
+	changed := false
 	switch {
 	case r.Answered:
-		news = s.mergeAnswer(b, at-r.Last, at)
+		changed = s.mergeAnswer(b, at-r.Last, at)
 	case s.acceptFinding(r.Node, r.Server, servers, at):
-		news = s.mergeFinding(b, r, at)
+		changed = s.mergeFinding(b, r, at)
 	}
-	if news {
+	if changed {
 		s.queueReport(b)
 	}
 }
--- a/bronzesteer/report_test.go
+++ b/bronzesteer/report_test.go
@@ -48,8 +48,8 @@
 }
 
 func (s *Steerer) backend(instance string) *backend {
-	k := s.state.Load()
-	return k.backendOf(k.view.ByName(instance), nil)
+	vs := s.state.Load()
+	return vs.backendOf(vs.view.ByName(instance), nil)
 }
 
 // In a large fleet, the link of one node is full, so that its packets are a quarter of a
--- a/bronzesteer/reportlimit.go
+++ b/bronzesteer/reportlimit.go
@@ -21,26 +21,26 @@
 func (s *Steerer) acceptFinding(node, server uint32, servers int, at time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	b := s.reportedBy[node]
-	if _, known := b[server]; !known {
-		b.expire(at)
-		if len(b) >= max(minReportedLimit, int(maxReportedFraction*float64(servers))) {
+	reported := s.reportedBy[node]
+	if _, known := reported[server]; !known {
+		reported.expire(at)
+		if len(reported) >= max(minReportedLimit, int(maxReportedFraction*float64(servers))) {
 			return false
 		}
 	}
-	if b == nil {
-		b = make(reportedServers)
-		s.reportedBy[node] = b
+	if reported == nil {
+		reported = make(reportedServers)
+		s.reportedBy[node] = reported
 	}
-	b[server] = at + suspicionTimeout
+	reported[server] = at + suspicionTimeout
 	return true
 }
 
 // expire removes entries that no longer count.
-func (b reportedServers) expire(at time.Duration) {
-	for server, until := range b {
+func (reported reportedServers) expire(at time.Duration) {
+	for server, until := range reported {
 		if at >= until {
-			delete(b, server)
+			delete(reported, server)
 		}
 	}
 }
@@ -49,9 +49,9 @@
 func (s *Steerer) expireReported(at time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for node, b := range s.reportedBy {
-		b.expire(at)
-		if len(b) == 0 {
+	for node, reported := range s.reportedBy {
+		reported.expire(at)
+		if len(reported) == 0 {
 			delete(s.reportedBy, node)
 		}
 	}
--- a/bronzesteer/shed.go
+++ b/bronzesteer/shed.go
@@ -28,8 +28,8 @@
 )
 
 // poolStats holds the statistics of a pool's servers: the service time of requests, without
-// waiting for a slot, and the number of this node's requests in flight. All methods may be
-// called concurrently.
+// waiting for a slot, and the number of this node's requests and openings in flight. All
+// methods may be called concurrently.
 type poolStats struct {
 	inFlight atomic.Int64
 	// medianLatency is the median latency of the servers, 0 if unknown. Some slow or
@@ -45,39 +45,39 @@
 
 // acksPromptly reports whether callers acknowledge answers when they receive them, so that
 // a request without an acknowledgement has no answer.
-func (t *poolStats) acksPromptly() bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.promptAcks >= minPromptAcks
+func (ps *poolStats) acksPromptly() bool {
+	ps.mu.Lock()
+	defer ps.mu.Unlock()
+	return ps.promptAcks >= minPromptAcks
 }
 
 // recordAck records whether an answer was acknowledged promptly.
-func (t *poolStats) recordAck(alone bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	to := 0.0
-	if alone {
-		to = 1
+func (ps *poolStats) recordAck(prompt bool) {
+	ps.mu.Lock()
+	defer ps.mu.Unlock()
+	sample := 0.0
+	if prompt {
+		sample = 1
 	}
-	t.promptAcks += promptAckWeight * (to - t.promptAcks)
+	ps.promptAcks += promptAckWeight * (sample - ps.promptAcks)
 }
 
 // observe records the answer time at a server with free slots.
-func (t *poolStats) observe(took time.Duration) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.mean == 0 {
-		t.mean = took
+func (ps *poolStats) observe(took time.Duration) {
+	ps.mu.Lock()
+	defer ps.mu.Unlock()
+	if ps.mean == 0 {
+		ps.mean = took
 		return
 	}
-	t.mean += time.Duration(serviceTimeWeight * float64(took-t.mean))
+	ps.mean += time.Duration(serviceTimeWeight * float64(took-ps.mean))
 }
 
 // serviceTime returns the mean service time, 0 if unknown.
-func (t *poolStats) serviceTime() time.Duration {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.mean
+func (ps *poolStats) serviceTime() time.Duration {
+	ps.mu.Lock()
+	defer ps.mu.Unlock()
+	return ps.mean
 }
 
 // poolInFlight estimates the requests in flight in a pool. This node's own requests show a
@@ -100,42 +100,42 @@
 }
 
 // newPoolInFlight returns an empty estimate for a pool.
-func (s *Steerer) newPoolInFlight(of *poolStats) poolInFlight {
-	return poolInFlight{stats: of, nodes: float64(s.peers.Load() + 1), counted: of.inFlight.Load()}
+func (s *Steerer) newPoolInFlight(stats *poolStats) poolInFlight {
+	return poolInFlight{stats: stats, nodes: float64(s.peers.Load() + 1), counted: stats.inFlight.Load()}
 }
 
 // add adds a candidate to the estimate.
-func (w *poolInFlight) add(c *candidate) {
+func (pf *poolInFlight) add(c *candidate) {
 	if c.tier <= tierAvoided {
 		return
 	}
-	w.own += c.inFlight
-	w.slots += c.slots
-	w.ownRate += c.rate
-	w.rate += c.rate + c.peerRate
+	pf.own += c.inFlight
+	pf.slots += c.slots
+	pf.ownRate += c.rate
+	pf.rate += c.rate + c.peerRate
 }
 
 // perSlot returns the number of requests in flight per slot, including those sent since the
 // candidates were counted: an outdated count would alternate between letting all callers in
 // and refusing all.
-func (w *poolInFlight) perSlot() float64 {
-	if w.slots == 0 {
+func (pf *poolInFlight) perSlot() float64 {
+	if pf.slots == 0 {
 		return 0
 	}
-	nodes := w.nodes
-	if w.ownRate > 0 {
-		nodes = min(nodes, w.rate/w.ownRate)
+	nodes := pf.nodes
+	if pf.ownRate > 0 {
+		nodes = min(nodes, pf.rate/pf.ownRate)
 	}
-	own := w.own + float64(w.stats.inFlight.Load()-w.counted)
-	return max(own, 0) * nodes / w.slots
+	own := pf.own + float64(pf.stats.inFlight.Load()-pf.counted)
+	return max(own, 0) * nodes / pf.slots
 }
 
 // shedFraction returns the fraction of new flows to be refused, from 0 to 1, if requests
 // take the given time and the objective is as given. It is 0 if either is unknown.
-func shedFraction(takes, objective time.Duration) float64 {
+func shedFraction(delay, objective time.Duration) float64 {
 	if objective <= 0 {
 		return 0
 	}
-	part := float64(takes) / float64(objective)
-	return min(max((part-shedStart)/(shedAll-shedStart), 0), 1)
+	ratio := float64(delay) / float64(objective)
+	return min(max((ratio-shedStart)/(shedAll-shedStart), 0), 1)
 }
--- a/bronzesteer/status.go
+++ b/bronzesteer/status.go
@@ -26,12 +26,12 @@
 
 // Servers returns the state of all servers, sorted by name.
 func (s *Steerer) Servers(now time.Time) (list []ServerStatus) {
-	k := s.state.Load()
-	if k == nil {
+	vs := s.state.Load()
+	if vs == nil {
 		return nil
 	}
 	at := s.sinceStart(now)
-	for _, m := range k.members {
+	for _, m := range vs.members {
 		server, b := m.server, m.backend
 		status := ServerStatus{
 			Instance: server.Instance, Pool: server.Pool, AvailabilityZone: server.AvailabilityZone,
@@ -48,11 +48,11 @@
 
 // FlowsInDrainedZones returns the number of tracked open flows at servers of drained zones.
 func (s *Steerer) FlowsInDrainedZones() (n int) {
-	k := s.state.Load()
-	if k == nil {
+	vs := s.state.Load()
+	if vs == nil {
 		return 0
 	}
-	for _, m := range k.members {
+	for _, m := range vs.members {
 		if m.server.ZoneDrained {
 			m.backend.mu.Lock()
 			n += m.backend.flows
--- a/bronzesteer/steer.go
+++ b/bronzesteer/steer.go
@@ -58,8 +58,8 @@
 	reportedBy map[uint32]reportedServers
 	probes     probeTargets
 	accounts   map[netip.AddrPort]*account
-	// exemptLimits limits the openings of each endpoint that are exempt from refusal by
-	// load.
+	// exemptLimits limits the openings of each endpoint that are exempt from refusal as
+	// NoneAnswers or Overloaded.
 	exemptLimits map[netip.AddrPort]*rate.Limiter
 	// ownZone is the entry of the node's zone. It is set once.
 	ownZone *zone
@@ -115,15 +115,15 @@
 // SetView puts a view in force. Calls must not overlap.
 func (s *Steerer) SetView(v *bronzeroute.View) {
 	s.init()
-	k := s.newViewState(v, s.state.Load())
-	s.removeUnrouted(k)
-	s.state.Store(k)
+	vs := s.newViewState(v, s.state.Load())
+	s.removeUnrouted(vs)
+	s.state.Store(vs)
 }
 
 // View returns the view in force, or nil.
 func (s *Steerer) View() *bronzeroute.View {
-	if k := s.state.Load(); k != nil {
-		return k.view
+	if vs := s.state.Load(); vs != nil {
+		return vs.view
 	}
 	return nil
 }
@@ -162,22 +162,22 @@
 // Decide returns what to do with a packet that arrived at now.
 func (s *Steerer) Decide(p *Packet, now time.Time) Decision {
 	s.init()
-	k := s.state.Load()
+	vs := s.state.Load()
 	switch {
-	case k == nil:
+	case vs == nil:
 		return Decision{Kind: Wait, Reason: NoView}
 	case p.Returned, p.Open && p.Accept:
 		return Decision{Reason: NotACaller}
 	case p.Open:
-		return s.placeOpening(k, p, now)
+		return s.placeOpening(vs, p, now)
 	default:
-		return s.forwardByToken(k, p, now)
+		return s.forwardByToken(vs, p, now)
 	}
 }
 
 // placeOpening places an opening or handles its retransmission.
-func (s *Steerer) placeOpening(k *viewState, p *Packet, now time.Time) Decision {
-	v := k.view
+func (s *Steerer) placeOpening(vs *viewState, p *Packet, now time.Time) Decision {
+	v := vs.view
 	service := p.Key.ServiceAddrPort()
 	route := v.Route(service)
 	if route == nil {
@@ -188,17 +188,17 @@
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	if f := sh.flows[p.Key]; f != nil {
-		return s.handleRetransmit(k, route, f, p, at, now)
+		return s.handleRetransmit(vs, route, f, p, at, now)
 	}
-	c := s.place(k, route, p, nil, at, now)
+	c := s.place(vs, route, p, nil, at, now)
 	server := c.server
 	if server == nil {
-		return s.refuseNoServer(k, route, p, now)
+		return s.refuseNoServer(vs, route, p, now)
 	}
-	if d, ok := s.refusal(k, route, p, c, now); ok {
+	if d, ok := s.refusal(vs, route, p, c, now); ok {
 		return d
 	}
-	if t, ok := s.probe(k, c, p, now); ok {
+	if t, ok := s.probe(vs, c, p, now); ok {
 		c, server = t, t.server
 	}
 	token := v.Token(service, server)
@@ -219,8 +219,8 @@
 // handleRetransmit handles another opening of a flow that this node has placed. If the
 // first server has answered any flow since, the opening was probably lost and is sent to
 // the same server; otherwise it is sent to another one.
-func (s *Steerer) handleRetransmit(k *viewState, route *bronzeroute.Route, f *flow, p *Packet, at time.Duration, now time.Time) Decision {
-	v := k.view
+func (s *Steerer) handleRetransmit(vs *viewState, route *bronzeroute.Route, f *flow, p *Packet, at time.Duration, now time.Time) Decision {
+	v := vs.view
 	f.seenAt = at
 	server := v.ByName(f.backend.instance)
 	if f.open {
@@ -236,7 +236,7 @@
 		return s.resend(server, f, at, now)
 	}
 	s.recordUnanswered(f.backend, f.sentAt(f.openedAt), at, openingWeight)
-	next := s.place(k, route, p, f.backend, at, now)
+	next := s.place(vs, route, p, f.backend, at, now)
 	if next.server == nil {
 		if server == nil || server.Status == bronzeroute.Gone {
 			return Decision{Kind: End, Reason: NoServer}
@@ -287,8 +287,8 @@
 }
 
 // forwardByToken forwards a packet of an established flow to the server of its token.
-func (s *Steerer) forwardByToken(k *viewState, p *Packet, now time.Time) Decision {
-	v := k.view
+func (s *Steerer) forwardByToken(vs *viewState, p *Packet, now time.Time) Decision {
+	v := vs.view
 	service := p.Key.ServiceAddrPort()
 	route := v.Route(service)
 	if route == nil {
@@ -308,7 +308,7 @@
 		// with the one whose acceptance came first, but the acceptance of the other may
 		// still change the token that the caller sends back.
 		token = f.token
-		s.recordLateAccept(k, f, p, at)
+		s.recordLateAccept(vs, f, p, at)
 	}
 	if token == 0 {
 		return Decision{Reason: NoToken}
@@ -323,7 +323,7 @@
 		sh.remove(p.Key)
 		return Decision{Kind: End, Reason: ServerGone, Tried: server}
 	}
-	b := k.backendOf(server, f)
+	b := vs.backendOf(server, f)
 	if f == nil {
 		account := s.account(route)
 		if denial := account.Admit(); denial != bronzepool.Admitted {
@@ -331,9 +331,9 @@
 		}
 		f = adopt(sh, route, account, p, b, token, at)
 	}
-	opened, hedge := time.Duration(0), NotHedged
+	handshakeTime, hedge := time.Duration(0), NotHedged
 	if !f.open {
-		opened = at - f.openedAt
+		handshakeTime = at - f.openedAt
 		hedge = f.settle(b, at)
 	}
 	s.observePacket(f, b, token, p, at)
@@ -344,20 +344,20 @@
 	if p.Abort {
 		sh.remove(p.Key)
 	}
-	return Decision{Kind: Forward, Reason: Steered, Server: server, Token: token, HandshakeTime: opened, Hedge: hedge}
+	return Decision{Kind: Forward, Reason: Steered, Server: server, Token: token, HandshakeTime: handshakeTime, Hedge: hedge}
 }
 
 // recordLateAccept records that a further server has accepted a flow's opening, as the
 // token sent back by the caller shows: that server was late, not silent.
-func (s *Steerer) recordLateAccept(k *viewState, f *flow, p *Packet, at time.Duration) {
+func (s *Steerer) recordLateAccept(vs *viewState, f *flow, p *Packet, at time.Duration) {
 	if p.Token == f.token || p.Token == 0 {
 		return
 	}
-	other := k.view.ByToken(p.Key.ServiceAddrPort(), p.Token)
+	other := vs.view.ByToken(p.Key.ServiceAddrPort(), p.Token)
 	if other == nil || other.Status == bronzeroute.Gone {
 		return
 	}
-	if b := k.backendOf(other, nil); b != f.backend && !b.answeredSince(f.openedAt) {
+	if b := vs.backendOf(other, nil); b != f.backend && !b.answeredSince(f.openedAt) {
 		s.recordAnswer(b, at)
 	}
 }
--- a/bronzesteer/viewstate.go
+++ b/bronzesteer/viewstate.go
@@ -28,12 +28,12 @@
 	if former == nil {
 		former = &viewState{}
 	}
-	k := &viewState{view: v, members: make([]member, len(v.Servers)), pools: make(map[string]*pool)}
+	vs := &viewState{view: v, members: make([]member, len(v.Servers)), pools: make(map[string]*pool)}
 	at := 0
 	for i, server := range v.Servers {
 		// Most servers are unchanged, and aren't even read.
 		if at < len(former.members) && former.members[at].server == server {
-			k.members[i] = former.members[at]
+			vs.members[i] = former.members[at]
 			at++
 			continue
 		}
@@ -42,35 +42,35 @@
 			at++
 		}
 		if at < len(former.members) && former.members[at].server.Instance == server.Instance {
-			k.members[i] = s.updateMember(former.members[at], server)
+			vs.members[i] = s.updateMember(former.members[at], server)
 			at++
 			continue
 		}
-		k.members[i] = member{server: server, backend: s.newBackend(server)}
-		k.members[i].addToZone()
+		vs.members[i] = member{server: server, backend: s.newBackend(server)}
+		vs.members[i].addToZone()
 	}
 	for ; at < len(former.members); at++ {
 		former.members[at].removeFromZone()
 	}
-	s.buildPools(k, former)
-	return k
+	s.buildPools(vs, former)
+	return vs
 }
 
 // buildPools builds the pools that have changed, and reuses the others.
-func (s *Steerer) buildPools(k, former *viewState) {
+func (s *Steerer) buildPools(vs, former *viewState) {
 	changed := make(map[string]*pool)
-	k.view.EachPool(func(name string, servers []*bronzeroute.Server) {
+	vs.view.EachPool(func(name string, servers []*bronzeroute.Server) {
 		p := former.pools[name]
 		if p == nil || !p.hasServers(servers) {
 			p = &pool{servers: servers, members: make([]member, 0, len(servers))}
 			changed[name] = p
 		}
-		k.pools[name] = p
+		vs.pools[name] = p
 	})
 	if len(changed) == 0 {
 		return
 	}
-	for _, m := range k.members {
+	for _, m := range vs.members {
 		if p := changed[m.server.Pool]; p != nil && m.server.Status != bronzeroute.Gone {
 			p.add(m, m.server.AvailabilityZone == s.AvailabilityZone)
 		}
@@ -118,8 +118,8 @@
 }
 
 // membersOf returns the servers of a pool.
-func (k *viewState) membersOf(name string) []member {
-	if p := k.pools[name]; p != nil {
+func (vs *viewState) membersOf(name string) []member {
+	if p := vs.pools[name]; p != nil {
 		return p.members
 	}
 	return nil
@@ -127,15 +127,15 @@
 
 // backendOf returns the state of a server of the view. f is the flow that may have it
 // already, or nil.
-func (k *viewState) backendOf(server *bronzeroute.Server, f *flow) *backend {
+func (vs *viewState) backendOf(server *bronzeroute.Server, f *flow) *backend {
 	if f != nil && f.backend.instance == server.Instance && f.backend.successor.Load() == nil {
 		return f.backend
 	}
-	i, found := slices.BinarySearchFunc(k.members, server.Instance, func(m member, name string) int {
+	i, found := slices.BinarySearchFunc(vs.members, server.Instance, func(m member, name string) int {
 		return strings.Compare(m.server.Instance, name)
 	})
 	if !found {
 		return nil
 	}
-	return k.members[i].backend
+	return vs.members[i].backend
 }
--- a/bronzesteer/viewstate_test.go
+++ b/bronzesteer/viewstate_test.go
@@ -44,14 +44,14 @@
 			"": func(t *rapid.T) {
 				former := node.state.Load()
 				node.SetView(d.View())
-				k := node.state.Load()
+				vs := node.state.Load()
 				anew := &Steerer{AvailabilityZone: "a"}
-				anew.SetView(k.view)
-				requireSameState(t, anew.state.Load(), k)
+				anew.SetView(vs.view)
+				requireSameState(t, anew.state.Load(), vs)
 				for name, z := range node.zones {
 					require.Equal(t, anew.zone(name).servers, z.servers, name)
 				}
-				requireStateKept(t, seen, former, k)
+				requireStateKept(t, seen, former, vs)
 			},
 		})
 	})
@@ -75,20 +75,20 @@
 }
 
 // requireStateKept checks that the states of servers and unchanged pools are kept.
-func requireStateKept(t require.TestingT, seen map[string]*backend, former, k *viewState) {
+func requireStateKept(t require.TestingT, seen map[string]*backend, former, vs *viewState) {
 	for name := range seen {
-		if k.view.ByName(name) == nil {
+		if vs.view.ByName(name) == nil {
 			delete(seen, name)
 		}
 	}
-	for _, m := range k.members {
+	for _, m := range vs.members {
 		if b := seen[m.server.Instance]; b != nil {
 			require.Same(t, b, m.backend)
 		}
 		seen[m.server.Instance] = m.backend
-		require.Same(t, m.backend, k.backendOf(m.server, nil))
+		require.Same(t, m.backend, vs.backendOf(m.server, nil))
 	}
-	for name, p := range k.pools {
+	for name, p := range vs.pools {
 		if old := former.pools[name]; old != nil && slices.Equal(old.servers, p.servers) && old.hasServers(p.servers) {
 			require.Same(t, old, p)
 		}
--- a/bronzesteer/warmup.go
+++ b/bronzesteer/warmup.go
@@ -52,27 +52,27 @@
 // tell.
 func (s *Steerer) SetZonePeers(names []string, known bool, now time.Time) {
 	s.init()
-	n := &s.zonePeers
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.known = known
+	zp := &s.zonePeers
+	zp.mu.Lock()
+	defer zp.mu.Unlock()
+	zp.known = known
 	slices.Sort(names)
-	if slices.Equal(names, n.names) {
+	if slices.Equal(names, zp.names) {
 		return
 	}
 	for _, name := range names {
-		if _, known := slices.BinarySearch(n.names, name); !known {
-			n.addedAt = s.sinceStart(now)
+		if _, known := slices.BinarySearch(zp.names, name); !known {
+			zp.addedAt = s.sinceStart(now)
 		}
 	}
-	n.names = names
-	n.version++
+	zp.names = names
+	zp.version++
 }
 
 // settled reports whether the node has learned all names, as far as it can tell. The caller
 // holds the lock.
-func (n *zonePeers) settled(at time.Duration) bool {
-	return n.known && at >= n.addedAt+peersSettleTime && at >= peersSettleTime
+func (zp *zonePeers) settled(at time.Duration) bool {
+	return zp.known && at >= zp.addedAt+peersSettleTime && at >= peersSettleTime
 }
 
 // isRateLimited reports whether the server may be sent only what a cold server can take.
@@ -94,22 +94,22 @@
 
 // canSendCold reports whether a cold server may be sent an opening at at.
 func (s *Steerer) canSendCold(server *bronzeroute.Server, b *backend, at time.Duration) bool {
-	every := s.coldInterval(server, b, at)
+	interval := s.coldInterval(server, b, at)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return every > 0 && at >= b.warmup.nextAt
+	return interval > 0 && at >= b.warmup.nextAt
 }
 
 // takeColdSend takes one opening from this node's share at a cold server. If ok is false,
 // none is left.
 func (s *Steerer) takeColdSend(server *bronzeroute.Server, b *backend, at time.Duration) (ok bool) {
-	every := s.coldInterval(server, b, at)
+	interval := s.coldInterval(server, b, at)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if every == 0 || at < b.warmup.nextAt {
+	if interval == 0 || at < b.warmup.nextAt {
 		return false
 	}
-	b.warmup.nextAt = at + every
+	b.warmup.nextAt = at + interval
 	return true
 }
 
@@ -119,26 +119,26 @@
 	if server.AvailabilityZone != s.AvailabilityZone {
 		return 0
 	}
-	n := &s.zonePeers
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if !n.settled(at) {
+	zp := &s.zonePeers
+	zp.mu.Lock()
+	defer zp.mu.Unlock()
+	if !zp.settled(at) {
 		return 0
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := &b.warmup
-	if !w.known || w.version != n.version {
-		w.interval, w.version, w.known = n.sendInterval(server, s.Name), n.version, true
+	if !w.known || w.version != zp.version {
+		w.interval, w.version, w.known = zp.sendInterval(server, s.Name), zp.version, true
 	}
 	return w.interval
 }
 
 // sendInterval computes the time between two openings of the named node.
-func (n *zonePeers) sendInterval(server *bronzeroute.Server, name string) time.Duration {
+func (zp *zonePeers) sendInterval(server *bronzeroute.Server, name string) time.Duration {
 	own := warmupRank(server, name)
 	before := 0
-	for _, other := range n.names {
+	for _, other := range zp.names {
 		if r := warmupRank(server, other); r < own || r == own && other < name {
 			before++
 		}
@@ -146,7 +146,7 @@
 	if before >= warmupSenders {
 		return 0
 	}
-	nodes := min(warmupSenders, len(n.names)+1)
+	nodes := min(warmupSenders, len(zp.names)+1)
 	return time.Duration(float64(nodes) / (warmupFraction * server.Warmup.RequestsPerSecond) * float64(time.Second))
 }
 
