--- a/bronzesteer/failure_test.go
+++ b/bronzesteer/failure_test.go
@@ -50,7 +50,7 @@
 	require.GreaterOrEqual(t, len(stuck), minFailedFlows)
 	s.stopAnswering(stuck, others)
 	for _, c := range stuck[:minFailedFlows-1] {
-		require.Equal(t, Forward, c.retransmitRequest().Kind, "one silence proves nothing")
+		require.Equal(t, Forward, c.retransmitRequest().Kind, "too few unanswered flows")
 	}
 	require.Equal(t, End, stuck[minFailedFlows-1].retransmitRequest().Kind)
 	s.advance(200 * time.Millisecond)
@@ -84,13 +84,13 @@
 	s := newSite(t, 2)
 	clients := s.serveN(12, live)
 	there, _ := splitAtFirstServer(clients)
-	lost, well := there[:4], there[4:]
+	lost, healthy := there[:4], there[4:]
 	for _, c := range lost {
 		c.request()
 	}
 	for range 5 {
 		s.advance(100 * time.Millisecond)
-		s.exchange(well)
+		s.exchange(healthy)
 		for _, c := range lost {
 			require.Equal(t, Forward, c.retransmitRequest().Kind)
 		}
@@ -115,9 +115,9 @@
 	}
 }
 
-// Zone b is unreachable for a while, and its servers are found silent. Six seconds after
-// the partition has healed, callers with flows in zone b come to this node, which has had
-// no traffic to the zone since. Its old findings must not end their flows.
+// Zone b is unreachable, and its servers are found silent. Six seconds later the partition
+// has healed, and callers with flows in zone b come to this node, which has had no traffic
+// to the zone since. Its old findings must not end their flows.
 func TestZonePartitionRecovery(t *testing.T) {
 	s := newSite(t, 4, 4)
 	own := s.serveN(8, live)
@@ -131,17 +131,17 @@
 		s.exchange(own)
 	}
 	moved := s.zoneBFlows(4)
-	require.Equal(t, End, moved[0].request().Kind, "while the cut lasts")
+	require.Equal(t, End, moved[0].request().Kind, "while the zone is unreachable")
 
 	for range 12 {
 		s.advance(500 * time.Millisecond)
 		s.exchange(own)
 	}
 	for _, status := range s.node.Servers(s.now) {
-		require.False(t, status.Avoided, "new flows go to %s again", status.Instance)
+		require.False(t, status.Avoided, "%s is still avoided", status.Instance)
 	}
 	for _, c := range s.zoneBFlows(4) {
-		require.Equal(t, Forward, c.request().Kind, "after the cut")
+		require.Equal(t, Forward, c.request().Kind, "after the partition has healed")
 	}
 }
 
@@ -167,12 +167,12 @@
 	s := newSite(t, 4, 4)
 	own := s.serveN(8, live)
 	s.advance(time.Second)
-	var crashed, well []*client
+	var crashed, healthy []*client
 	for _, c := range s.zoneBFlows(8) {
 		if c.server.Instance == "b-0" || c.server.Instance == "b-1" {
 			crashed = append(crashed, c)
 		} else {
-			well = append(well, c)
+			healthy = append(healthy, c)
 		}
 	}
 	s.stopAnswering(crashed, own)
@@ -183,7 +183,7 @@
 		s.advance(100 * time.Millisecond)
 		s.exchange(own)
 	}
-	for _, c := range well {
+	for _, c := range healthy {
 		require.Equal(t, Forward, c.request().Kind)
 	}
 }
@@ -209,10 +209,10 @@
 	}
 
 	ended := map[uint16]bool{}
-	for _, ending := range s.endings {
-		require.Equal(t, "a-0", ending.Instance)
-		require.NotZero(t, ending.Packet.Acknowledged, "the caller believes a reset with that number alone")
-		ended[ending.Packet.Key.CallerPort] = true
+	for _, e := range s.endedFlows {
+		require.Equal(t, "a-0", e.Instance)
+		require.NotZero(t, e.Packet.Acknowledged, "callers accept a reset only with this number")
+		ended[e.Packet.Key.CallerPort] = true
 	}
 	for _, c := range idle {
 		require.True(t, ended[c.packet.Key.CallerPort])
--- a/bronzesteer/fleet_test.go
+++ b/bronzesteer/fleet_test.go
@@ -20,8 +20,8 @@
 }
 
 // newFleet returns a fleet whose nodes all have idle flows at all servers.
-func newFleet(t *testing.T, nodes, liars, servers int, seed uint64) *fleet {
-	f := &fleet{random: rand.New(rand.NewPCG(seed, 1)), faulty: liars}
+func newFleet(t *testing.T, nodes, faulty, servers int, seed uint64) *fleet {
+	f := &fleet{random: rand.New(rand.NewPCG(seed, 1)), faulty: faulty}
 	for i := range nodes {
 		s := newSite(t, servers)
 		s.node.Node = uint32(i + 1)
@@ -41,13 +41,13 @@
 
 // step lets some time pass in which each node serves a new flow and an existing one, and
 // sends new reports to three others.
-func (f *fleet) step(lies func() []Report) {
+func (f *fleet) step(faultyReports func() []Report) {
 	for i, s := range f.sites {
 		s.serve(live)
 		s.exchange(f.flows[i][f.random.IntN(len(f.flows[i])):][:1])
 		reports := s.node.Reports(false, s.now)
 		if i >= len(f.sites)-f.faulty {
-			reports = lies()
+			reports = faultyReports()
 		}
 		for range gossipFanout {
 			to := f.sites[f.random.IntN(len(f.sites))]
@@ -63,25 +63,25 @@
 func TestFaultyMinorityKeepsFlows(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		nodes := rapid.IntRange(smallFleetPeers+2, 24).Draw(r, "Nodes")
-		liars := rapid.IntRange(1, (nodes-1)/2).Draw(r, "Liars")
+		faulty := rapid.IntRange(1, (nodes-1)/2).Draw(r, "Faulty")
 		servers := rapid.IntRange(2, 4).Draw(r, "Servers")
-		f := newFleet(t, nodes, liars, servers, rapid.Uint64().Draw(r, "Seed"))
-		lies := func() (reports []Report) {
+		f := newFleet(t, nodes, faulty, servers, rapid.Uint64().Draw(r, "Seed"))
+		faultyReports := func() (reports []Report) {
 			for range f.random.IntN(maxReports) {
 				server := f.sites[0].node.state.Load().members[f.random.IntN(servers)].backend.shortID
 				first := time.Duration(f.random.IntN(4000)) * time.Millisecond
 				reports = append(reports, Report{
-					Server: server, Node: uint32(nodes - f.random.IntN(liars)), SameZone: true, Openings: 1 + f.random.IntN(9),
+					Server: server, Node: uint32(nodes - f.random.IntN(faulty)), SameZone: true, Openings: 1 + f.random.IntN(9),
 					Requests: f.random.IntN(9), First: first, Last: time.Duration(f.random.Int64N(int64(first) + 1)),
 				})
 			}
 			return reports
 		}
 		for range 40 {
-			f.step(lies)
+			f.step(faultyReports)
 		}
 		for _, s := range f.correct() {
-			require.Empty(r, s.endings)
+			require.Empty(r, s.endedFlows)
 		}
 	})
 }
--- a/bronzesteer/hang_test.go
+++ b/bronzesteer/hang_test.go
@@ -16,7 +16,7 @@
 	// lateAcks means that answers are acknowledged only with the next request.
 	lateAcks bool
 	waiting  []*client
-	byName   map[string]int
+	byServer map[string]int
 }
 
 // arrive has n callers open a flow and send a request. Answers are acknowledged after 60
@@ -25,7 +25,7 @@
 	for range n {
 		client, d := c.open(live)
 		require.Equal(c.t, Forward, d.Kind)
-		c.byName[client.server.Instance]++
+		c.byServer[client.server.Instance]++
 		client.accept()
 		client.request()
 		c.waiting = append(c.waiting, client)
@@ -50,10 +50,10 @@
 }
 
 func newCallers(t *testing.T) *callers {
-	c := &callers{site: newSite(t, 4), byName: make(map[string]int)}
+	c := &callers{site: newSite(t, 4), byServer: make(map[string]int)}
 	c.node.Random = rand.New(rand.NewPCG(5, 6)).IntN
 	c.arrive(80)
-	clear(c.byName)
+	clear(c.byServer)
 	return c
 }
 
@@ -65,10 +65,10 @@
 	c := newCallers(t)
 	c.hanging = "a-0"
 	c.arrive(40)
-	clear(c.byName)
+	clear(c.byServer)
 	c.arrive(80)
-	require.LessOrEqual(t, c.byName["a-0"], 4, "a quarter of the callers would be 20")
-	require.Empty(t, c.endings, "nothing is ended for it")
+	require.LessOrEqual(t, c.byServer["a-0"], 4, "an equal share would be 20")
+	require.Empty(t, c.endedFlows, "no flow is ended")
 }
 
 // Once the server answers again, its penalty must decay until it gets its share.
@@ -78,9 +78,9 @@
 	c.arrive(40)
 	c.hanging = ""
 	c.arrive(1000)
-	clear(c.byName)
+	clear(c.byServer)
 	c.arrive(80)
-	require.GreaterOrEqual(t, c.byName["a-0"], 10)
+	require.GreaterOrEqual(t, c.byServer["a-0"], 10)
 }
 
 // If callers acknowledge answers only with their next request, each answer seems to be
--- a/bronzesteer/harness_test.go
+++ b/bronzesteer/harness_test.go
@@ -28,7 +28,7 @@
 	now       time.Time
 	port      uint16
 	// endings are the flows that sweeps have ended.
-	endings []EndedFlow
+	endedFlows []EndedFlow
 }
 
 // newSite returns a site with the given numbers of servers in zones a, b and c. Requests to
@@ -36,10 +36,10 @@
 func newSite(t *testing.T, servers ...int) *site {
 	t.Helper()
 	s := &site{t: t, now: begin, port: 1024}
-	shares := []bronzeroute.WeightedPool{{Pool: "live", Weight: 1}}
+	pools := []bronzeroute.WeightedPool{{Pool: "live", Weight: 1}}
 	s.directory.SetTable(&bronzeroute.Table{Version: 1, Routes: []bronzeroute.Route{
-		{Name: "live", Service: live, Pools: shares, Idempotent: true},
-		{Name: "outline", Service: outline, Pools: shares},
+		{Name: "live", Service: live, Pools: pools, Idempotent: true},
+		{Name: "outline", Service: outline, Pools: pools},
 	}}, s.now)
 	for zone, n := range servers {
 		for i := range n {
@@ -76,7 +76,7 @@
 	const step = 50 * time.Millisecond
 	for ; d > 0; d -= step {
 		s.now = s.now.Add(min(step, d))
-		s.endings = append(s.endings, s.node.Sweep(s.now)...)
+		s.endedFlows = append(s.endedFlows, s.node.Sweep(s.now)...)
 	}
 }
 
--- a/bronzesteer/hedge_test.go
+++ b/bronzesteer/hedge_test.go
@@ -64,12 +64,12 @@
 	s := newSite(t, 4)
 	s.completeHandshakes(20, 3*time.Millisecond)
 	_, d := s.open(live)
-	asked := map[string]bool{d.Server.Instance: true}
+	tried := map[string]bool{d.Server.Instance: true}
 	for range maxHedges {
 		list := s.nextHedges()
 		require.Len(t, list, 1)
-		require.False(t, asked[list[0].Decision.Server.Instance])
-		asked[list[0].Decision.Server.Instance] = true
+		require.False(t, tried[list[0].Decision.Server.Instance])
+		tried[list[0].Decision.Server.Instance] = true
 	}
 	require.Empty(t, s.nextHedges())
 }
@@ -87,10 +87,10 @@
 	require.Equal(t, HedgeLost, accepted.Hedge)
 	require.Equal(t, d.Server.Instance, accepted.Server.Instance)
 	c.packet.Token = h.Token
-	asked := c.request()
-	require.Equal(t, d.Server.Instance, asked.Server.Instance)
-	require.Equal(t, d.Token, asked.Token)
-	require.False(t, s.status(d.Server.Instance).Avoided, "it has answered")
+	sent := c.request()
+	require.Equal(t, d.Server.Instance, sent.Server.Instance)
+	require.Equal(t, d.Token, sent.Token)
+	require.False(t, s.status(d.Server.Instance).Avoided, "the server has answered")
 }
 
 // The caller has taken the second server's acceptance when the first server's comes. The
@@ -122,8 +122,8 @@
 	require.LessOrEqual(t, s.now.Sub(sent), maxHedgeDelay)
 }
 
-// All servers are silent under load. If each opening were sent to three servers, the others
-// would get three times the openings.
+// All servers are silent under load. If each opening were sent to three servers, the number
+// of openings would triple.
 func TestHedgeBudget(t *testing.T) {
 	s := newSite(t, 6, 6)
 	s.completeHandshakes(20, 3*time.Millisecond)
@@ -142,9 +142,9 @@
 // another caller's.
 func TestHedgeNotSentWhenOverloaded(t *testing.T) {
 	s := newSite(t, 3)
-	shares := []bronzeroute.WeightedPool{{Pool: "live", Weight: 1}}
+	pools := []bronzeroute.WeightedPool{{Pool: "live", Weight: 1}}
 	s.directory.SetTable(&bronzeroute.Table{Version: 2, Routes: []bronzeroute.Route{
-		{Name: "live", Service: live, Pools: shares, Idempotent: true, Objective: 100 * time.Millisecond},
+		{Name: "live", Service: live, Pools: pools, Idempotent: true, Objective: 100 * time.Millisecond},
 	}}, s.now)
 	s.node.SetView(s.directory.View())
 	clients := s.serveN(24, live)
--- a/bronzesteer/overload_test.go
+++ b/bronzesteer/overload_test.go
@@ -41,7 +41,7 @@
 	// slots holds until when each slot of each server is in use.
 	slots map[string][]time.Time
 
-	asked, inTime, late, failed int
+	requests, inTime, late, failed int
 }
 
 const (
@@ -55,10 +55,10 @@
 func newQueueSite(t *testing.T, perZone int) *queueSite {
 	q := &queueSite{site: newSite(t, perZone, perZone), rnd: rand.New(rand.NewPCG(5, 6)), slots: map[string][]time.Time{}}
 	q.node.Random = q.rnd.IntN
-	shares := []bronzeroute.WeightedPool{{Pool: "live", Weight: 1}}
+	pools := []bronzeroute.WeightedPool{{Pool: "live", Weight: 1}}
 	q.directory.SetTable(&bronzeroute.Table{Version: 2, Routes: []bronzeroute.Route{
-		{Name: "live", Service: live, Pools: shares, Idempotent: true, Objective: simObjective},
-		{Name: "outline", Service: outline, Pools: shares, Objective: simObjective},
+		{Name: "live", Service: live, Pools: pools, Idempotent: true, Objective: simObjective},
+		{Name: "outline", Service: outline, Pools: pools, Objective: simObjective},
 	}}, q.now)
 	q.node.SetView(q.directory.View())
 	for _, s := range q.node.View().Servers {
@@ -77,7 +77,7 @@
 	gap := time.Duration(float64(time.Second) / perSecond)
 	for at := time.Duration(0); at < d; at += gap {
 		q.after(at+time.Duration(q.rnd.Int64N(int64(gap))), func() {
-			q.asked++
+			q.requests++
 			q.try(service, q.now, simTries)
 		})
 	}
@@ -139,9 +139,9 @@
 	q := newQueueSite(t, 3)
 	const capacity = 6 * 2 * float64(time.Second/simWork)
 	q.run(live, 1.3*capacity, 8*time.Second)
-	require.Equal(t, q.asked, q.inTime+q.late+q.failed)
-	require.Greater(t, float64(q.inTime)/float64(q.asked), 0.75, "1/1.3 can be")
-	require.Less(t, float64(q.late)/float64(q.asked), 0.02)
+	require.Equal(t, q.requests, q.inTime+q.late+q.failed)
+	require.Greater(t, float64(q.inTime)/float64(q.requests), 0.75, "at most 1/1.3 is possible")
+	require.Less(t, float64(q.late)/float64(q.requests), 0.02)
 }
 
 // The same with a pool so large that openings use a sample of the servers and a summary of
@@ -153,8 +153,8 @@
 	q := newQueueSite(t, perZone)
 	const capacity = 2 * perZone * 2 * float64(time.Second/simWork)
 	q.run(live, 1.3*capacity, 4*time.Second)
-	require.Greater(t, float64(q.inTime)/float64(q.asked), 0.75, "1/1.3 can be")
-	require.Less(t, float64(q.late)/float64(q.asked), 0.02)
+	require.Greater(t, float64(q.inTime)/float64(q.requests), 0.75, "at most 1/1.3 is possible")
+	require.Less(t, float64(q.late)/float64(q.requests), 0.02)
 }
 
 // At half as many callers again as usual there are free slots, and none is refused.
@@ -163,7 +163,7 @@
 	const capacity = 6 * 2 * float64(time.Second/simWork)
 	q.run(live, 0.7*capacity, 8*time.Second)
 	require.Zero(t, q.failed)
-	require.Greater(t, float64(q.inTime)/float64(q.asked), 0.99)
+	require.Greater(t, float64(q.inTime)/float64(q.requests), 0.99)
 }
 
 // The pool's other endpoint has one caller per second, which doesn't cause the overload and
--- a/bronzesteer/pause_test.go
+++ b/bronzesteer/pause_test.go
@@ -49,7 +49,7 @@
 		s.serve(live)
 		require.Empty(t, s.reportedFindings())
 	}
-	require.Empty(t, s.endings)
+	require.Empty(t, s.endedFlows)
 	require.Equal(t, Forward, idle[0].request().Kind)
 }
 
@@ -63,7 +63,7 @@
 	s.nextHedges()
 	s.advance(settleTime)
 	s.node.Hedges(s.now)
-	require.Empty(t, s.reportedFindings(), "what it saw while it woke doesn't count")
+	require.Empty(t, s.reportedFindings(), "findings during settleTime don't count")
 	s.open(live)
 	s.nextHedges()
 	s.advance(2 * reportDelay)
@@ -87,7 +87,7 @@
 		s.advance(200 * time.Millisecond)
 	}
 	require.Empty(t, s.reportedFindings())
-	require.Empty(t, s.endings)
+	require.Empty(t, s.endedFlows)
 }
 
 // A server that is missing from the node's records may have been registered again during
@@ -106,15 +106,15 @@
 	require.Equal(t, Drop, d.Kind)
 	require.Equal(t, Unsure, d.Reason)
 	unknown, _ := s.open(netip.MustParseAddrPort("198.18.0.9:80"))
-	require.Equal(t, Unsure, unknown.retransmit().Reason, "its route may be new")
+	require.Equal(t, Unsure, unknown.retransmit().Reason, "the route may be new")
 	s.advance(time.Second)
-	require.Empty(t, s.endings)
+	require.Empty(t, s.endedFlows)
 
 	s.node.RecordsConfirmed()
 	require.Equal(t, ServerGone, there[0].retransmitRequest().Reason)
 	require.Equal(t, NoRoute, unknown.retransmit().Reason)
 	s.advance(time.Second)
-	require.NotEmpty(t, s.endings)
+	require.NotEmpty(t, s.endedFlows)
 }
 
 // A delayed node reads an opening from its socket together with both retransmissions. Its
@@ -160,11 +160,11 @@
 // back for contradicting answers.
 func TestPropagationTime(t *testing.T) {
 	var s Steerer
-	for others, want := range map[int]time.Duration{
+	for peers, want := range map[int]time.Duration{
 		0: 0, smallFleetPeers: 0, 19: 800, 65: 800, 77: 800, 294: 1000, 489: 1000, 1100: 1200,
 	} {
-		s.SetPeerCount(others)
-		require.Equal(t, want*time.Millisecond, s.propagationTime(false), others)
-		require.Equal(t, want*time.Millisecond/2, s.propagationTime(true), others)
+		s.SetPeerCount(peers)
+		require.Equal(t, want*time.Millisecond, s.propagationTime(false), peers)
+		require.Equal(t, want*time.Millisecond/2, s.propagationTime(true), peers)
 	}
 }
--- a/bronzesteer/place_test.go
+++ b/bronzesteer/place_test.go
@@ -44,19 +44,19 @@
 		full = append(full, Load{Server: shortID(server), Rate: rate})
 	}
 	s.node.SetPeerCount(1)
-	away := 0
+	spilled := 0
 	for range 200 {
 		s.node.SetLoads("other", full, s.now)
 		s.advance(100 * time.Millisecond)
 		c, _ := s.open(live)
 		c.accept()
 		if c.server.AvailabilityZone != "a" {
-			away++
+			spilled++
 		}
 	}
 	// Utilization is 60*0.03/2 = 0.9 in zone a and 0.4 on average: a share of 1.25*0.4/0.9
 	// stays.
-	require.InDelta(t, 200*(1-1.25*0.4/0.9), away, 20)
+	require.InDelta(t, 200*(1-1.25*0.4/0.9), spilled, 20)
 }
 
 // After a power failure, all nodes start without any loads, and the callers of one zone
@@ -123,7 +123,7 @@
 	for i, server := range s.node.View().Servers {
 		s.node.state.Load().backendOf(server, nil).rate = 2 * minReportedRate * float64(i)
 	}
-	require.Empty(t, s.node.Loads(), "before they were brought up to date")
+	require.Empty(t, s.node.Loads(), "loads not updated yet")
 	s.advance(loadInterval)
 	loads := s.node.Loads()
 	require.Len(t, loads, maxLoads)
@@ -304,8 +304,7 @@
 
 // Under load, servers with full queues refuse at once. Counted as failing, each would be
 // avoided in turn and the flows would fill the next: at 1.6 times the usual load with some
-// slow servers, twice as many requests were late. Their fast answers must count as
-// measured.
+// slow servers, that doubles the late requests. Their fast answers must count as measured.
 func TestBusyServerNotFastFailing(t *testing.T) {
 	s := newSite(t, 4)
 	s.serveN(16, live)
--- a/bronzesteer/pool_test.go
+++ b/bronzesteer/pool_test.go
@@ -11,9 +11,9 @@
 	"bronzeusher.example/bronzeusher/bronzeroute"
 )
 
-// For a service of 1,000 servers and 50 openings per second, comparing all servers took a
-// fifth of the time of a node with a tenth of a core, and delayed its callers' packets. A
-// sample must balance flows nearly as evenly.
+// For a service of 1,000 servers and 50 openings per second, comparing all servers would
+// take a fifth of the time of a node with a tenth of a core, and delay its callers'
+// packets. A sample must balance flows nearly as evenly.
 func TestLargePoolSampleBalance(t *testing.T) {
 	const perZone, each = 400, 8
 	s := newSite(t, perZone, perZone, perZone)
--- a/bronzesteer/probe_test.go
+++ b/bronzesteer/probe_test.go
@@ -24,9 +24,9 @@
 // probes it with a caller's opening, and returns that caller.
 func (s *site) reportUntilProbed(instance string) *client {
 	s.t.Helper()
-	told := s.now
+	since := s.now
 	for range 20 {
-		first := s.now.Sub(told) + 20*time.Millisecond
+		first := s.now.Sub(since) + 20*time.Millisecond
 		s.node.MergeReports([]Report{s.peerReport(instance, 7, 3, first), s.peerReport(instance, 8, 3, first)}, s.now)
 		s.advance(100 * time.Millisecond)
 		c, d := s.open(live)
@@ -35,7 +35,7 @@
 		}
 		c.accept()
 	}
-	require.Fail(s.t, "no opening tries the server")
+	require.Fail(s.t, "no opening has probed the server")
 	return nil
 }
 
@@ -53,7 +53,7 @@
 		s.advance(100 * time.Millisecond)
 	}
 	ended := map[flowKey]bool{}
-	for _, e := range s.endings {
+	for _, e := range s.endedFlows {
 		require.Equal(t, "a-0", e.Instance)
 		ended[e.Packet.Key] = true
 	}
@@ -67,10 +67,10 @@
 // told that the server answers.
 func TestProbeAnsweredKeepsFlows(t *testing.T) {
 	s, _ := newIdleSite(t)
-	tries := s.reportUntilProbed("a-0")
+	probe := s.reportUntilProbed("a-0")
 	s.now = s.now.Add(3 * time.Millisecond)
 	s.node.HasNewReports()
-	tries.accept()
+	probe.accept()
 	require.True(t, s.node.HasNewReports())
 	require.True(t, s.node.Reports(false, s.now)[0].Answered)
 	for range 20 {
@@ -78,16 +78,16 @@
 		s.serve(live)
 		s.advance(100 * time.Millisecond)
 	}
-	require.Empty(t, s.endings)
+	require.Empty(t, s.endedFlows)
 }
 
 // A peer and this node's two probes have each lost a packet to a healthy server. That is
 // too little evidence to end flows, however long nothing else is known.
 func TestProbesAndOneReportKeepFlows(t *testing.T) {
 	s, _ := newIdleSite(t)
-	told := s.peerReport("a-0", 7, 1, 20*time.Millisecond)
-	told.Requests = 0
-	s.node.MergeReports([]Report{told}, s.now)
+	report := s.peerReport("a-0", 7, 1, 20*time.Millisecond)
+	report.Requests = 0
+	s.node.MergeReports([]Report{report}, s.now)
 	tried := 0
 	for range 14 {
 		s.advance(100 * time.Millisecond)
@@ -101,5 +101,5 @@
 		c.accept()
 	}
 	require.Equal(t, maxProbes, tried)
-	require.Empty(t, s.endings)
+	require.Empty(t, s.endedFlows)
 }
--- a/bronzesteer/refuse_test.go
+++ b/bronzesteer/refuse_test.go
@@ -36,9 +36,9 @@
 
 // crowd is callers of the archive that arrive every 10 ms and retransmit their openings.
 type crowd struct {
-	site    *site
-	own     []*client
-	opening map[*client]time.Time
+	site     *site
+	own      []*client
+	openings map[*client]time.Time
 	// recovered means that the archive servers accept.
 	recovered bool
 	// refused and forwarded count the first transmissions.
@@ -47,7 +47,7 @@
 }
 
 func newCrowd(t *testing.T) *crowd {
-	c := &crowd{opening: make(map[*client]time.Time)}
+	c := &crowd{openings: make(map[*client]time.Time)}
 	c.site, c.own = newPartitionedSite(t)
 	return c
 }
@@ -57,11 +57,11 @@
 	s := c.site
 	for end := s.now.Add(d); s.now.Before(end); {
 		s.exchange(c.own[:1])
-		c.repeat()
+		c.retransmit()
 		caller, decision := s.open(archive)
 		if decision.Kind == Forward {
 			c.forwarded++
-			c.opening[caller] = s.now
+			c.openings[caller] = s.now
 			c.accept()
 			continue
 		}
@@ -75,22 +75,22 @@
 	if !c.recovered {
 		return
 	}
-	for caller := range c.opening {
+	for caller := range c.openings {
 		caller.accept()
 	}
-	clear(c.opening)
+	clear(c.openings)
 }
 
 // retransmit retransmits the openings that are due. None may be refused.
-func (c *crowd) repeat() {
-	for caller, at := range c.opening {
+func (c *crowd) retransmit() {
+	for caller, at := range c.openings {
 		age := c.site.now.Sub(at)
 		due := caller.packet.Retransmits == 0 && age >= 200*time.Millisecond || caller.packet.Retransmits == 1 && age >= 600*time.Millisecond
 		if due {
 			require.Equal(c.site.t, Forward, caller.retransmit().Kind)
 		}
 		if age >= 1400*time.Millisecond {
-			delete(c.opening, caller)
+			delete(c.openings, caller)
 		}
 	}
 }
--- a/bronzesteer/report_test.go
+++ b/bronzesteer/report_test.go
@@ -21,7 +21,7 @@
 		c.accept()
 		c.request()
 	}
-	require.Fail(s.t, "no flow meets the server")
+	require.Fail(s.t, "no flow was placed on the server")
 	return nil
 }
 
@@ -32,15 +32,15 @@
 	}
 }
 
-// serveExcept opens a flow and has one request answered, unless it is placed on the given
-// server, which answers nobody. Then it opens another flow.
-func (s *site) serveExcept(dead string) {
+// serveExcept opens a flow with one answered request. If the flow is placed on the given
+// server, which answers nobody, another flow is opened instead.
+func (s *site) serveExcept(instance string) {
 	s.t.Helper()
 	c, d := s.open(live)
-	if d.Server.Instance == dead {
+	if d.Server.Instance == instance {
 		c, d = s.open(live)
 	}
-	require.NotEqual(s.t, dead, d.Server.Instance)
+	require.NotEqual(s.t, instance, d.Server.Instance)
 	c.accept()
 	c.request()
 	s.advance(50 * time.Millisecond)
@@ -68,14 +68,14 @@
 		}
 		s.advance(200 * time.Millisecond)
 		s.serve(live)
-		require.Empty(t, s.endings)
+		require.Empty(t, s.endedFlows)
 		for _, c := range late {
 			c.packet.Token = s.node.View().Token(live, s.node.View().ByName("a-0"))
 			c.accept()
 		}
 		s.advance(500 * time.Millisecond)
 	}
-	require.Empty(t, s.endings)
+	require.Empty(t, s.endedFlows)
 }
 
 // A node with a full link twice finds a server silent that then answers. Its further
@@ -101,7 +101,7 @@
 		s.advance(200 * time.Millisecond)
 		s.serve(live)
 	}
-	require.Empty(t, s.endings)
+	require.Empty(t, s.endedFlows)
 	for _, r := range s.node.Reports(true, s.now) {
 		require.True(t, r.Answered)
 	}
@@ -119,17 +119,17 @@
 	s.advance(100 * time.Millisecond)
 	waiting[0].request()
 	s.node.MergeReports([]Report{s.peerReport("a-0", 7, 3, 20*time.Millisecond)}, s.now)
-	require.True(t, s.node.HasNewReports(), "it is passed on")
+	require.True(t, s.node.HasNewReports(), "the report is passed on")
 	require.True(t, s.status("a-0").Avoided)
 	s.advance(200 * time.Millisecond)
 	s.serveExcept("a-0")
-	require.Equal(t, Forward, waiting[0].retransmitRequest().Kind, "an answer at another node may not have been told yet")
+	require.Equal(t, Forward, waiting[0].retransmitRequest().Kind, "an answer to another node may still have to be reported")
 	for range 4 {
 		s.advance(200 * time.Millisecond)
 		s.serveExcept("a-0")
 	}
 	ended := map[flowKey]bool{}
-	for _, e := range s.endings {
+	for _, e := range s.endedFlows {
 		require.Equal(t, "a-0", e.Instance)
 		require.Equal(t, ServerSilent, e.Reason)
 		ended[e.Packet.Key] = true
@@ -158,7 +158,7 @@
 		s.serve(live)
 		require.Equal(t, Forward, waiting[0].retransmitRequest().Kind)
 	}
-	require.Empty(t, s.endings)
+	require.Empty(t, s.endedFlows)
 	require.False(t, s.status("a-0").Avoided)
 }
 
@@ -180,7 +180,7 @@
 		s.advance(200 * time.Millisecond)
 		s.serve(live)
 	}
-	require.Empty(t, s.endings)
+	require.Empty(t, s.endedFlows)
 }
 
 // Reports are passed on between nodes only while they are new, and expire after
@@ -197,7 +197,7 @@
 			s.node.MergeReports([]Report{report}, s.now)
 			s.node.HasNewReports()
 			s.node.MergeReports([]Report{report}, s.now)
-			require.False(t, s.node.HasNewReports(), "told twice")
+			require.False(t, s.node.HasNewReports(), "the same report twice")
 			require.LessOrEqual(t, len(s.node.Reports(true, s.now)), maxReportsPerServer)
 			s.advance(time.Duration(rapid.IntRange(0, 100).Draw(r, "MS")) * time.Millisecond)
 		}
--- a/bronzesteer/restart_test.go
+++ b/bronzesteer/restart_test.go
@@ -10,10 +10,10 @@
 )
 
 // registerStart registers a start of the given server.
-func (s *site) registerStart(server *bronzeroute.Server, born time.Time) {
-	again := *server
-	again.StartedAt = born
-	s.directory.Register(again)
+func (s *site) registerStart(server *bronzeroute.Server, startedAt time.Time) {
+	restarted := *server
+	restarted.StartedAt = startedAt
+	s.directory.Register(restarted)
 	s.node.SetView(s.directory.View())
 }
 
@@ -26,15 +26,15 @@
 	s.registerStart(server, s.now)
 	before := s.serve(outline)
 	s.advance(5 * time.Second)
-	born := s.now
+	startedAt := s.now
 	s.advance(time.Second)
 	after := s.serve(outline)
-	s.registerStart(server, born)
+	s.registerStart(server, startedAt)
 	s.advance(200 * time.Millisecond)
 
-	require.Len(t, s.endings, 1)
-	require.Equal(t, before.packet.Key, s.endings[0].Packet.Key)
-	require.Equal(t, ServerReborn, s.endings[0].Reason)
+	require.Len(t, s.endedFlows, 1)
+	require.Equal(t, before.packet.Key, s.endedFlows[0].Packet.Key)
+	require.Equal(t, ServerReborn, s.endedFlows[0].Reason)
 	require.Equal(t, Forward, after.request().Kind)
 	status := s.node.Servers(s.now)[0]
 	require.Equal(t, 1, status.Flows)
@@ -51,7 +51,7 @@
 	s.advance(5 * time.Second)
 	s.registerStart(server, s.now)
 	s.advance(time.Second)
-	require.Empty(t, s.endings)
+	require.Empty(t, s.endedFlows)
 	require.Equal(t, Forward, c.request().Kind)
 }
 
@@ -64,7 +64,7 @@
 	c := s.serve(outline)
 	s.registerStart(server, s.now.Add(-time.Hour))
 	s.advance(time.Second)
-	require.Empty(t, s.endings)
+	require.Empty(t, s.endedFlows)
 	require.Equal(t, Forward, c.request().Kind)
 }
 
--- a/bronzesteer/steer_test.go
+++ b/bronzesteer/steer_test.go
@@ -66,7 +66,7 @@
 	c = s.serve(live)
 	s.node.shard(&c.packet).remove(c.packet.Key)
 	c.packet.Token ^= 1
-	require.Equal(t, Decision{Kind: Drop, Reason: TokenUnknown}, c.request(), "a server that it doesn't know yet")
+	require.Equal(t, Decision{Kind: Drop, Reason: TokenUnknown}, c.request(), "the server may not be known yet")
 }
 
 func TestDecideServerGone(t *testing.T) {
@@ -74,7 +74,7 @@
 	c := s.serve(live)
 	s.directory.Unregister(c.server.Instance, s.now)
 	s.node.SetView(s.directory.View())
-	require.Equal(t, Forward, c.request().Kind, "its registration may be back")
+	require.Equal(t, Forward, c.request().Kind, "the registration may come back")
 	s.advance(bronzeroute.MissingTimeout + time.Millisecond)
 	s.directory.Advance(s.now)
 	s.node.SetView(s.directory.View())
@@ -206,10 +206,10 @@
 // as usual.
 func TestTrackingLimitPerCustomer(t *testing.T) {
 	s := newSite(t, 2)
-	shares := []bronzeroute.WeightedPool{{Pool: "live", Weight: 1}}
+	pools := []bronzeroute.WeightedPool{{Pool: "live", Weight: 1}}
 	s.directory.SetTable(&bronzeroute.Table{Version: 2, Routes: []bronzeroute.Route{
-		{Name: "live", Service: live, Pools: shares, Customer: "flooded"},
-		{Name: "outline", Service: outline, Pools: shares, Customer: "other"},
+		{Name: "live", Service: live, Pools: pools, Customer: "flooded"},
+		{Name: "outline", Service: outline, Pools: pools, Customer: "other"},
 	}}, s.now)
 	s.node.SetView(s.directory.View())
 	flood := s.node.account(s.node.View().Route(live))
@@ -224,7 +224,7 @@
 	require.Equal(t, Steered, c.request().Reason)
 	require.Equal(t, before, s.node.Flows())
 	for _, status := range s.node.Servers(s.now) {
-		require.Zero(t, status.Work, "nothing is counted that would never be taken back")
+		require.Zero(t, status.Work, "untracked requests must not be counted")
 	}
 
 	_, d = s.open(outline)
@@ -237,7 +237,7 @@
 // callers' packets lost.
 func TestTrackingLimitByMemory(t *testing.T) {
 	const small = 1 << 20
-	require.Equal(t, maxFlows, flowLimit(0), "the memory isn't told")
+	require.Equal(t, maxFlows, flowLimit(0), "unknown memory")
 	require.Equal(t, maxFlows, flowLimit(1<<40))
 	require.Less(t, flowLimit(64<<20)*flowBytes, 64<<20/2)
 
--- a/bronzesteer/view_bench_test.go
+++ b/bronzesteer/view_bench_test.go
@@ -20,8 +20,8 @@
 			t := &bronzeroute.Table{Version: 1}
 			for i := range n/perService + 1 {
 				service := netip.AddrPortFrom(netip.AddrFrom4([4]byte{198, 18, byte(i >> 8), byte(i)}), 443)
-				shares := []bronzeroute.WeightedPool{{Pool: fmt.Sprint(i), Weight: 1}}
-				t.Routes = append(t.Routes, bronzeroute.Route{Service: service, Pools: shares})
+				pools := []bronzeroute.WeightedPool{{Pool: fmt.Sprint(i), Weight: 1}}
+				t.Routes = append(t.Routes, bronzeroute.Route{Service: service, Pools: pools})
 			}
 			d.SetTable(t, begin)
 			for i := range n {
--- a/bronzesteer/viewstate_test.go
+++ b/bronzesteer/viewstate_test.go
@@ -45,11 +45,11 @@
 				former := node.state.Load()
 				node.SetView(d.View())
 				vs := node.state.Load()
-				anew := &Steerer{AvailabilityZone: "a"}
-				anew.SetView(vs.view)
-				requireSameState(t, anew.state.Load(), vs)
+				fresh := &Steerer{AvailabilityZone: "a"}
+				fresh.SetView(vs.view)
+				requireSameState(t, fresh.state.Load(), vs)
 				for name, z := range node.zones {
-					require.Equal(t, anew.zone(name).servers, z.servers, name)
+					require.Equal(t, fresh.zone(name).servers, z.servers, name)
 				}
 				requireStateKept(t, seen, former, vs)
 			},
--- a/bronzesteer/warmup_test.go
+++ b/bronzesteer/warmup_test.go
@@ -146,7 +146,7 @@
 }
 
 // learn records another node, and reports whether it is a new one in the zone.
-func (n *warmupNode) learn(other *warmupNode) (news bool) {
+func (n *warmupNode) learn(other *warmupNode) (added bool) {
 	if other == n || other.zone != n.zone || n.knownPeers[other.name] {
 		return false
 	}
@@ -166,12 +166,12 @@
 // gossip has each node learn of some others.
 func (f *warmupFleet) gossip(names int) {
 	for _, n := range f.nodes {
-		news := false
+		added := false
 		for range names {
 			other := f.nodes[f.random.IntN(len(f.nodes))]
-			news = !n.isolated && !other.isolated && n.learn(other) || news
+			added = !n.isolated && !other.isolated && n.learn(other) || added
 		}
-		if news {
+		if added {
 			n.updatePeers(f.now)
 		}
 	}
@@ -246,8 +246,8 @@
 		servers := rapid.IntRange(1, 12).Draw(r, "Servers")
 		perSecond := float64(rapid.IntRange(1, 40).Draw(r, "PerSecond"))
 		f := newWarmupFleet(r, nodes, min(zones, nodes), servers, perSecond, rapid.Uint64().Draw(r, "Seed"))
-		cut := rapid.IntRange(0, nodes/3).Draw(r, "CutOff")
-		for i := range cut {
+		isolated := rapid.IntRange(0, nodes/3).Draw(r, "CutOff")
+		for i := range isolated {
 			f.nodes[i].isolated, f.nodes[i].staleView = true, i%2 == 0
 		}
 		joins := rapid.IntRange(0, nodes/8+1).Draw(r, "Joins")
--- a/bronzesteer/zones_test.go
+++ b/bronzesteer/zones_test.go
@@ -33,7 +33,7 @@
 	for _, c := range open {
 		require.Equal(t, "a", c.server.AvailabilityZone)
 	}
-	require.Empty(t, s.endings)
+	require.Empty(t, s.endedFlows)
 
 	s.advance(20 * time.Second)
 	s.directory.UndrainZone("a", s.now)
@@ -77,7 +77,7 @@
 	early.packet.Token = token
 	require.Equal(t, Drop, d.Kind)
 	require.Equal(t, ZoneDrained, d.Reason)
-	require.Equal(t, Forward, early.accept().Kind, "it was open all the while")
+	require.Equal(t, Forward, early.accept().Kind, "the first transmission may be accepted")
 
 	late, _ := s.open(live)
 	late.packet.Retransmits = 1
@@ -103,12 +103,12 @@
 	s.node.SetView(s.directory.View())
 	for range 4 {
 		_, d := s.open(live)
-		require.Equal(t, "a", d.Server.AvailabilityZone, "missing servers of other zones are")
+		require.Equal(t, "a", d.Server.AvailabilityZone, "missing servers of other zones are used")
 	}
 	s.directory.Advance(s.now.Add(bronzeroute.MissingTimeout + 1))
 	s.node.SetView(s.directory.View())
 	_, d := s.open(live)
-	require.Equal(t, Decision{Kind: End, Reason: NoServer}, d, "nobody is there")
+	require.Equal(t, Decision{Kind: End, Reason: NoServer}, d, "no server is left")
 }
 
 // A route's second pool, used because the first has no servers, is in a drained zone.
