--- a/bronzesteer/evidence.go
+++ b/bronzesteer/evidence.go
@@ -200,8 +200,8 @@
 	return u
 }
 
-// mergeFinding merges a peer's finding, and reports whether peers are to be told: either of
-// the finding or of an answer that contradicts it.
+// mergeFinding merges a peer's finding, and reports whether to send reports: either the
+// finding, or an answer that contradicts it.
 func (s *Steerer) mergeFinding(b *backend, r *Report, at time.Duration) (changed bool) {
 	f := finding{sameZone: r.SameZone, openings: r.Openings, requests: r.Requests, first: at - r.First, last: at - r.Last}
 	b.mu.Lock()
--- a/bronzesteer/harness_test.go
+++ b/bronzesteer/harness_test.go
@@ -27,7 +27,7 @@
 	node      *Steerer
 	now       time.Time
 	port      uint16
-	// endings are the flows that sweeps have ended.
+	// endedFlows are the flows that sweeps have ended.
 	endedFlows []EndedFlow
 }
 
--- a/bronzesteer/packet.go
+++ b/bronzesteer/packet.go
@@ -161,12 +161,12 @@
 type HedgeOutcome uint8
 
 const (
-	// NotHedged: only one server was tried.
+	// NotHedged means that only one server was tried.
 	NotHedged HedgeOutcome = iota
-	// HedgeWon: the caller continues with a further server.
+	// HedgeWon means that the caller continues with a further server.
 	HedgeWon
-	// HedgeLost: the caller continues with the first server, which took longer than
-	// expected.
+	// HedgeLost means that the caller continues with the first server, which took longer
+	// than expected.
 	HedgeLost
 )
 
--- a/bronzesteer/probe.go
+++ b/bronzesteer/probe.go
@@ -36,7 +36,7 @@
 func (s *Steerer) needsProbe(b *backend, at time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if f, asked := b.ownFinding(at, false, s.health.validFrom()); asked && f.openings >= maxProbes {
+	if f, ok := b.ownFinding(at, false, s.health.validFrom()); ok && f.openings >= maxProbes {
 		return false
 	}
 	u := b.suspicion(at, false, s.health.validFrom())
--- a/bronzesteer/steer.go
+++ b/bronzesteer/steer.go
@@ -98,9 +98,9 @@
 type EventKind uint8
 
 const (
-	// Avoided: new flows avoid the server for some time.
+	// Avoided means that new flows avoid the server for some time.
 	Avoided EventKind = iota + 1
-	// Cleared: a server that was avoided has answered.
+	// Cleared means that a server that was avoided has answered.
 	Cleared
 )
 
--- a/bronzesteer/zones_test.go
+++ b/bronzesteer/zones_test.go
@@ -103,7 +103,7 @@
 	s.node.SetView(s.directory.View())
 	for range 4 {
 		_, d := s.open(live)
-		require.Equal(t, "a", d.Server.AvailabilityZone, "missing servers of other zones are used")
+		require.Equal(t, "a", d.Server.AvailabilityZone, "missing servers of the other zone are used")
 	}
 	s.directory.Advance(s.now.Add(bronzeroute.MissingTimeout + 1))
 	s.node.SetView(s.directory.View())
