--- a/bronzesteer/timing.go
+++ b/bronzesteer/timing.go
@@ -86,10 +86,9 @@
 	// minReporters is the number of nodes that must have found a server silent for its
 	// flows to be ended, minFleetFlows the number of openings and requests that it must
 	// have left unanswered in a large fleet. In a small fleet it is minFailedFlows. An
-	// opening is given up after a few milliseconds, during which a link may be full: with
-	// three such openings as the limit, nodes with full links ended flows at healthy
-	// servers, even if one of the openings was this node's own and had lasted
-	// minOwnSilence.
+	// opening is given up after a few milliseconds, during which a link may be full: with a
+	// limit of three such openings, nodes with full links end flows at healthy servers,
+	// even if one of the openings is this node's own and has lasted minOwnSilence.
 	minReporters  = 2
 	minFleetFlows = 5
 	// smallFleetPeers is the number of peers up to which messages reach all nodes within a
