--- a/bronzesteer/warmup_test.go
+++ b/bronzesteer/warmup_test.go
@@ -237,7 +237,7 @@
 
 // Servers restart in bulk while callers arrive, nodes are isolated from their peers and
 // partly from the store, new nodes join and learn the others' names gradually, and zones
-// are drained and returned. No cold server may get more requests from all nodes together
+// are drained and undrained. No cold server may get more requests from all nodes together
 // than is allowed in any second, though nodes don't know each other's rates.
 func TestWarmupRateLimit(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
