--- a/bronzegossip/epoch_test.go
+++ b/bronzegossip/epoch_test.go
@@ -17,7 +17,7 @@
 	inZone := func(d *node) bool { return d.gossip.Self.AvailabilityZone == "a" }
 	net.cut = func(from, to *node) bool { return inZone(from) != inZone(to) }
 	for _, d := range nodes {
-		d.reaches = !inZone(d)
+		d.storeReachable = !inZone(d)
 	}
 	s.epoch, s.revision = 2, 20
 	s.run(nodes, 3*time.Second)
@@ -40,7 +40,7 @@
 	require.Zero(t, s.behind(nodes))
 	calls := func() (n int) {
 		for _, d := range nodes {
-			n += d.calls
+			n += d.storeCalls
 		}
 		return n
 	}
--- a/bronzegossip/fleet_test.go
+++ b/bronzegossip/fleet_test.go
@@ -69,17 +69,17 @@
 	s.run(nodes, 20*time.Second)
 	calls := 0
 	for _, d := range nodes {
-		d.reaches = false
-		calls -= d.calls
+		d.storeReachable = false
+		calls -= d.storeCalls
 	}
 	s.run(nodes, 7*time.Second)
 	asked := 0
 	for _, d := range nodes {
-		calls += d.calls
+		calls += d.storeCalls
 		if d.gossip.ShouldRead(d.net.now) {
 			asked++
 		}
-		d.reaches = true
+		d.storeReachable = true
 	}
 	require.LessOrEqual(t, asked, n/3)
 	require.LessOrEqual(t, calls, 100)
@@ -92,7 +92,7 @@
 func TestTakeOverAfter(t *testing.T) {
 	var delays []time.Duration
 	for before := range 8 {
-		delays = append(delays, takeOverAfter(before)-confirmedFor)
+		delays = append(delays, takeOverAfter(before)-confirmationTimeout)
 	}
 	const ms = time.Millisecond
 	require.Equal(t, []time.Duration{0, 250 * ms, 500 * ms, 750 * ms, 1250 * ms, 2250 * ms, 4250 * ms, 8250 * ms}, delays)
--- a/bronzegossip/gossip.go
+++ b/bronzegossip/gossip.go
@@ -13,32 +13,32 @@
 const (
 	// TickInterval is how often Tick is to be called.
 	TickInterval = 100 * time.Millisecond
-	// interval is how often a node tells others about itself when there is
+	// gossipInterval is how often a node tells others about itself when there is
 	// nothing new, and largeInterval the same with more than tellAll others, whose
 	// messages carry more loads.
-	interval      = 400 * time.Millisecond
-	largeInterval = time.Second
+	gossipInterval     = 400 * time.Millisecond
+	largeFleetInterval = time.Second
 	// fanout is how many others a node tells at a time. News that each passes on so
 	// reaches a fleet in few steps.
 	fanout = 3
-	// tellAll is up to how many others a node that has news tells all of them.
-	tellAll = 12
-	// fresher is by how much the store's last word must be newer than what was
+	// smallFleet is up to how many others a node that has news tells all of them.
+	smallFleet = 12
+	// minConfirmationAdvance is by how much the store's last word must be newer than what was
 	// known to be passed on at once.
-	fresher = 500 * time.Millisecond
-	// loadWait is how long a node that has started waits for the store's
+	minConfirmationAdvance = 500 * time.Millisecond
+	// startupFetchDelay is how long a node that has started waits for the store's
 	// records, unless the store fails, before it asks a peer for them.
-	loadWait = 500 * time.Millisecond
-	// behindFor is how long a node may know of newer records before it
+	startupFetchDelay = 500 * time.Millisecond
+	// behindTimeout is how long a node may know of newer records before it
 	// reads the store itself. A fetch takes some tens of milliseconds. behindEpochFor
 	// is the same for records of a later epoch, which all nodes fetch whole, a few from
 	// each that has them.
-	behindFor      = 300 * time.Millisecond
-	behindEpochFor = 1500 * time.Millisecond
-	// peersTold is how many other nodes a message names.
-	peersTold = 3
-	// maxDelta bounds the records that come with the news, in bytes.
-	maxDelta = 700
+	behindTimeout      = 300 * time.Millisecond
+	epochBehindTimeout = 1500 * time.Millisecond
+	// peersPerMessage is how many other nodes a message names.
+	peersPerMessage = 3
+	// maxDeltaBytes bounds the records that come with the news, in bytes.
+	maxDeltaBytes = 700
 )
 
 // Gossip is one node's part. Its exported fields must not change after the
@@ -81,47 +81,47 @@
 	mu sync.Mutex
 	// peers are all nodes known, byName the same by name. chosen is what choose
 	// works with.
-	peers  map[string]*peer
-	byName []*peer
-	chosen []*peer
-	// contact is when the store last said to some node that there is nothing newer
+	peers      map[string]*peer
+	byName     []*peer
+	candidates []*peer
+	// confirmedAt is when the store last said to some node that there is nothing newer
 	// than this node's records.
-	contact time.Time
-	next    time.Time
+	confirmedAt time.Time
+	nextGossip  time.Time
 	// nextReports is when reports may be passed on next, and reportsDue says that there
 	// are some.
 	nextReports time.Time
 	reportsDue  bool
-	started     time.Time
-	// behind is since when this node knows of the position missed, which it doesn't have;
+	startedAt   time.Time
+	// behindSince is since when this node knows of the position missed, which it doesn't have;
 	// the zero time if it has all that it knows of. highest is the latest that it knows of.
-	behind  time.Time
-	missed  bronzerecord.Position
-	highest bronzerecord.Position
-	// ahead is the node that last told of newer records than this one's, and
+	behindSince time.Time
+	awaited     bronzerecord.Position
+	latest      bronzerecord.Position
+	// newerPeer is the node that last told of newer records than this one's, and
 	// storeFailed says that the store has failed this node.
-	ahead       Peer
+	newerPeer   Peer
 	storeFailed bool
 	leaving     bool
-	// resumed is when the node last went on after it stood still, and unheard for how long
+	// resumedAt is when the node last went on after it stood still, and unheard for how long
 	// it heard nobody by then.
-	resumed time.Time
-	unheard time.Duration
-	out     []datagram
+	resumedAt time.Time
+	pausedFor time.Duration
+	outbox    []datagram
 }
 
 // datagram is a message that is sent after the lock is released.
 type datagram struct {
 	to netip.AddrPort
 	m  Message
-	// whole says that the message is to have loads and other nodes.
-	whole bool
+	// full says that the message is to have loads and other nodes.
+	full bool
 }
 
 // Spread tells others what changed in this node's records.
 func (g *Gossip) Spread(delta bronzerecord.Delta, now time.Time) {
-	g.do(now, func() {
-		if size(delta) <= maxDelta && !delta.Whole {
+	g.runLocked(now, func() {
+		if estimateBytes(delta) <= maxDeltaBytes && !delta.Whole {
 			g.spread(now, &delta)
 			return
 		}
@@ -129,7 +129,7 @@
 	})
 }
 
-func size(d bronzerecord.Delta) (n int) {
+func estimateBytes(d bronzerecord.Delta) (n int) {
 	for _, r := range d.Changed {
 		n += len(r.Name) + len(r.Body) + 32
 	}
@@ -144,8 +144,8 @@
 func (g *Gossip) Suspended(d time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.contact.IsZero() {
-		g.contact = g.contact.Add(-d)
+	if !g.confirmedAt.IsZero() {
+		g.confirmedAt = g.confirmedAt.Add(-d)
 	}
 }
 
@@ -157,15 +157,15 @@
 	g.Suspended(suspended)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.resumed, g.unheard = now, paused
+	g.resumedAt, g.pausedFor = now, paused
 }
 
 // Leave tells all nodes known that this one is about to end.
 func (g *Gossip) Leave(now time.Time) {
-	g.do(now, func() {
+	g.runLocked(now, func() {
 		g.leaving = true
-		for _, p := range g.heard(now) {
-			g.tell(p.Address, now, nil)
+		for _, p := range g.livePeers(now) {
+			g.queueUpdate(p.Address, now, nil)
 		}
 	})
 }
@@ -179,30 +179,30 @@
 
 // Tick does what is due.
 func (g *Gossip) Tick(now time.Time) {
-	g.do(now, func() {
-		if g.started.IsZero() {
-			g.started = now
+	g.runLocked(now, func() {
+		if g.startedAt.IsZero() {
+			g.startedAt = now
 		}
 		g.expire(now)
-		g.passReports(now)
-		if now.Before(g.next) {
+		g.sendDueReports(now)
+		if now.Before(g.nextGossip) {
 			return
 		}
 		every := g.interval()
-		g.next = now.Add(every/2 + time.Duration(g.random(int(every))))
+		g.nextGossip = now.Add(every/2 + time.Duration(g.random(int(every))))
 		for _, to := range g.targets(now, fanout) {
-			g.ask(to, now)
+			g.queueRequest(to, now)
 		}
-		g.contactLost(now)
-		g.contactSeeds(now)
+		g.probeLost(now)
+		g.probeSeeds(now)
 	})
 }
 
 func (g *Gossip) interval() time.Duration {
-	if len(g.peers) > tellAll {
-		return largeInterval
+	if len(g.peers) > smallFleet {
+		return largeFleetInterval
 	}
-	return interval
+	return gossipInterval
 }
 
 func (g *Gossip) random(n int) int {
@@ -212,9 +212,9 @@
 	return rand.IntN(n)
 }
 
-// contactLost asks one of the nodes that are no longer heard of. After a
+// probeLost asks one of the nodes that are no longer heard of. After a
 // partition its sides find each other by that.
-func (g *Gossip) contactLost(now time.Time) {
+func (g *Gossip) probeLost(now time.Time) {
 	var lost []*peer
 	for _, p := range g.byName {
 		if p.lost && !p.Leaving {
@@ -222,19 +222,19 @@
 		}
 	}
 	if len(lost) > 0 {
-		g.ask(lost[g.random(len(lost))].Address, now)
+		g.queueRequest(lost[g.random(len(lost))].Address, now)
 	}
 }
 
-// contactSeeds asks the seeds while few nodes are heard of. Seeds may be
+// probeSeeds asks the seeds while few nodes are heard of. Seeds may be
 // stale; among the nodes heard of are soon better ones.
-func (g *Gossip) contactSeeds(now time.Time) {
-	if g.there(now) >= fanout {
+func (g *Gossip) probeSeeds(now time.Time) {
+	if g.liveCount(now) >= fanout {
 		return
 	}
 	for _, seed := range g.Seeds {
 		if seed != g.Self.Address {
-			g.ask(seed, now)
+			g.queueRequest(seed, now)
 		}
 	}
 }
@@ -250,24 +250,24 @@
 		return
 	}
 	applied := m.Delta != nil && g.Records.Apply(*m.Delta)
-	g.do(now, func() { g.take(&m, applied, now) })
+	g.runLocked(now, func() { g.merge(&m, applied, now) })
 	if g.OnLoads != nil && len(m.Loads) > 0 {
 		g.OnLoads(m.From.Name, m.Loads, m.Latencies, now)
 	}
 	if g.OnReports != nil && len(m.Reports) > 0 {
 		g.OnReports(m.Reports, now)
 	}
-	if mine := g.Records.Position(); mine.Before(m.position()) && g.fetches(mine, &m, now) {
-		g.Fetch(m.From, mine)
+	if own := g.Records.Position(); own.Before(m.position()) && g.shouldFetch(own, &m, now) {
+		g.Fetch(m.From, own)
 	}
-	if g.FetchLostHistory != nil && g.recalls(&m) {
+	if g.FetchLostHistory != nil && g.needsLostHistory(&m) {
 		g.FetchLostHistory(m.From)
 	}
 }
 
-// recalls reports whether the sender of a message remembers earlier epochs further than this
+// needsLostHistory reports whether the sender of a message remembers earlier epochs further than this
 // node, which may have started since.
-func (g *Gossip) recalls(m *Message) bool {
+func (g *Gossip) needsLostHistory(m *Message) bool {
 	if m.former().IsZero() || m.Epoch != g.Records.Position().Epoch {
 		return false
 	}
@@ -280,116 +280,116 @@
 func (g *Gossip) StoreFailed() {
 	g.mu.Lock()
 	g.storeFailed = true
-	ahead := g.ahead
+	ahead := g.newerPeer
 	g.mu.Unlock()
 	if g.Fetch != nil && ahead.Name != "" && g.Records.Position().IsZero() {
 		g.Fetch(ahead, bronzerecord.Position{})
 	}
 }
 
-// fetches reports whether to fetch records from the sender of a message. A node that has
+// shouldFetch reports whether to fetch records from the sender of a message. A node that has
 // none reads the store at its start, and ends that when it has them from a peer: from one
 // whose records the store has confirmed of late, which is there sooner than a dozen pages.
 // Where all start at once nobody's are, and hundreds that asked each other for all records
 // would only be slower.
-func (g *Gossip) fetches(mine bronzerecord.Position, m *Message, now time.Time) bool {
+func (g *Gossip) shouldFetch(own bronzerecord.Position, m *Message, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.Fetch == nil {
 		return false
 	}
-	confirmed := time.Duration(m.ContactMS)*time.Millisecond < confirmedFor
-	return !mine.IsZero() || confirmed || g.storeFailed || now.Sub(g.started) >= loadWait
+	confirmed := time.Duration(m.ContactMS)*time.Millisecond < confirmationTimeout
+	return !own.IsZero() || confirmed || g.storeFailed || now.Sub(g.startedAt) >= startupFetchDelay
 }
 
-// take takes a message in, and passes on what is new in it.
-func (g *Gossip) take(m *Message, applied bool, now time.Time) {
-	g.meet(m.From, now)
+// merge takes a message in, and passes on what is new in it.
+func (g *Gossip) merge(m *Message, applied bool, now time.Time) {
+	g.updateSender(m.From, now)
 	for _, p := range m.Peers {
-		g.hearOf(p, now)
+		g.updatePeer(p, now)
 	}
 	if g.Records.Position().Before(m.position()) {
-		g.ahead = m.From
+		g.newerPeer = m.From
 	}
-	g.noteBehind(m.position(), now)
-	news := g.learn(m.position(), now.Add(-time.Duration(m.ContactMS)*time.Millisecond), now)
+	g.noteLatest(m.position(), now)
+	news := g.mergeConfirmation(m.position(), now.Add(-time.Duration(m.ContactMS)*time.Millisecond), now)
 	switch {
 	case applied:
 		g.spread(now, m.Delta)
 	case news:
 		g.spread(now, nil)
 	case m.Answer:
-		g.answer(m.From.Address, now)
+		g.queueReply(m.From.Address, now)
 	}
 }
 
 // spread tells some others, or all if they are few.
 func (g *Gossip) spread(now time.Time, delta *bronzerecord.Delta) {
 	n := fanout
-	if len(g.peers) <= tellAll {
-		n = tellAll
+	if len(g.peers) <= smallFleet {
+		n = smallFleet
 	}
 	for _, to := range g.targets(now, n) {
-		g.tell(to, now, delta)
+		g.queueUpdate(to, now, delta)
 	}
 }
 
 // targets returns the addresses of up to n nodes that were heard of lately.
 func (g *Gossip) targets(now time.Time, n int) (to []netip.AddrPort) {
-	for _, p := range g.choose(now, n) {
+	for _, p := range g.randomPeers(now, n) {
 		to = append(to, p.Address)
 	}
 	return to
 }
 
-// ask queues a message that has all there is and wants the same back, answer
+// queueRequest queues a message that has all there is and wants the same back, answer
 // one that has it; the caller holds the lock.
-func (g *Gossip) ask(to netip.AddrPort, now time.Time) {
+func (g *Gossip) queueRequest(to netip.AddrPort, now time.Time) {
 	g.queue(to, now, Message{Answer: true}, true)
 }
 
-func (g *Gossip) answer(to netip.AddrPort, now time.Time) {
+func (g *Gossip) queueReply(to netip.AddrPort, now time.Time) {
 	g.queue(to, now, Message{}, true)
 }
 
-// tell queues news alone.
-func (g *Gossip) tell(to netip.AddrPort, now time.Time, delta *bronzerecord.Delta) {
+// queueUpdate queues news alone.
+func (g *Gossip) queueUpdate(to netip.AddrPort, now time.Time, delta *bronzerecord.Delta) {
 	g.queue(to, now, Message{Delta: delta}, false)
 }
 
 func (g *Gossip) queue(to netip.AddrPort, now time.Time, m Message, whole bool) {
 	m.From = g.Self
 	m.From.Leaving = g.leaving
-	mine := g.Records.Position()
-	m.Epoch, m.Revision = mine.Epoch, mine.Revision
+	own := g.Records.Position()
+	m.Epoch, m.Revision = own.Epoch, own.Revision
 	if former, lost := g.Records.FormerPosition(); lost > 0 {
 		m.FormerEpoch, m.FormerRevision = former.Epoch, former.Revision
 	}
-	m.ContactMS = g.contactAge(now)
+	m.ContactMS = g.confirmationAgeMS(now)
 	if whole {
-		m.Peers = g.some(now)
+		m.Peers = g.samplePeers(now)
 	}
-	g.out = append(g.out, datagram{to: to, m: m, whole: whole})
+	g.outbox = append(g.outbox, datagram{to: to, m: m, full: whole})
 }
 
-// some returns a few nodes to name to others.
-func (g *Gossip) some(now time.Time) (peers []Peer) {
-	for _, p := range g.choose(now, peersTold) {
-		peers = append(peers, p.told(now))
+// samplePeers returns a few nodes to name to others.
+func (g *Gossip) samplePeers(now time.Time) (peers []Peer) {
+	for _, p := range g.randomPeers(now, peersPerMessage) {
+		peers = append(peers, p.advertised(now))
 	}
 	return peers
 }
 
-// do runs a step under the lock and sends what it left to be sent.
-func (g *Gossip) do(now time.Time, step func()) {
+// runLocked runs a step under the lock and sends what it left to be sent.
+func (g *Gossip) runLocked(now time.Time, step func()) {
 	g.mu.Lock()
 	step()
-	out := g.out
-	g.out = nil
+	out := g.outbox
+	g.outbox = nil
 	g.mu.Unlock()
-	g.fill(out, now)
+	g.fillFull(out, now)
 	for i := range out {
-		b, err := out[i].m.fit()
+		b, err := out[i].m.encodeBounded()
 		if err != nil {
 			g.count("NotEncoded")
 			continue
@@ -398,9 +398,9 @@
 	}
 }
 
-// fill puts into the messages that have all there is what is gathered once for all of them.
-func (g *Gossip) fill(out []datagram, now time.Time) {
-	if !slices.ContainsFunc(out, func(d datagram) bool { return d.whole }) {
+// fillFull puts into the messages that have all there is what is gathered once for all of them.
+func (g *Gossip) fillFull(out []datagram, now time.Time) {
+	if !slices.ContainsFunc(out, func(d datagram) bool { return d.full }) {
 		return
 	}
 	var loads []Load
@@ -410,15 +410,15 @@
 	}
 	reports := g.reports(true, now)
 	for i := range out {
-		if out[i].whole {
+		if out[i].full {
 			out[i].m.Loads, out[i].m.Latencies, out[i].m.Reports = loads, latencies, reports
 		}
 	}
 }
 
-// fit returns the bytes of m, without reports and then without what else may be long if
+// encodeBounded returns the bytes of m, without reports and then without what else may be long if
 // they are too many.
-func (m *Message) fit() (b []byte, err error) {
+func (m *Message) encodeBounded() (b []byte, err error) {
 	b, err = encode(m)
 	if err == nil && len(b) > MaxMessageBytes {
 		m.Reports = nil
@@ -437,20 +437,20 @@
 	}
 }
 
-// neverMS is the age of the store's last word to a node that has heard none, in
+// neverConfirmedMS is the age of the store's last word to a node that has heard none, in
 // milliseconds: 24 days. The time since its start must not stand for it. Others
 // would take it for the store's word, and while nodes start one after the other
 // never find that those that read the store are cut off from it.
-const neverMS = 1 << 31
+const neverConfirmedMS = 1 << 31
 
-// contactAge returns how long ago the store's last word was, for others.
-func (g *Gossip) contactAge(now time.Time) uint32 {
-	if g.contact.IsZero() {
-		return neverMS
+// confirmationAgeMS returns how long ago the store's last word was, for others.
+func (g *Gossip) confirmationAgeMS(now time.Time) uint32 {
+	if g.confirmedAt.IsZero() {
+		return neverConfirmedMS
 	}
-	return milliseconds(now.Sub(g.contact))
+	return milliseconds(now.Sub(g.confirmedAt))
 }
 
 func milliseconds(d time.Duration) uint32 {
-	return uint32(min(max(d.Milliseconds(), 0), neverMS))
+	return uint32(min(max(d.Milliseconds(), 0), neverConfirmedMS))
 }
--- a/bronzegossip/gossip_test.go
+++ b/bronzegossip/gossip_test.go
@@ -30,16 +30,16 @@
 	records bronzerecord.Set
 	net     *network
 	stopped bool
-	// reaches says whether it reaches the store; calls counts its calls.
-	reaches bool
-	calls   int
+	// storeReachable says whether it storeReachable the store; calls counts its calls.
+	storeReachable bool
+	storeCalls     int
 }
 
 // restart starts the node anew, without the store.
 func (d *node) restart() {
 	before := &d.gossip
 	d.records = bronzerecord.Set{}
-	d.reaches = false
+	d.storeReachable = false
 	self := before.Self
 	self.Incarnation++
 	d.gossip = Gossip{Self: self, Seeds: before.Seeds, Records: &d.records, Random: before.Random, Send: before.Send}
@@ -58,7 +58,7 @@
 	net = &network{now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), nodes: map[netip.AddrPort]*node{}, cut: func(_, _ *node) bool { return false }}
 	for i := range n {
 		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i / 250), byte(i%250 + 1)}), 7000)
-		d := &node{net: net, reaches: true}
+		d := &node{net: net, storeReachable: true}
 		d.gossip = Gossip{
 			Self:    Peer{Name: fmt.Sprintf("node-%d", i), Incarnation: 1, Address: address, AvailabilityZone: string(rune('a' + i%zones))},
 			Records: &d.records,
@@ -130,16 +130,16 @@
 }
 
 func (s *store) read(n *node, now time.Time, due bool) {
-	mine := n.records.Position()
-	if !n.gossip.ShouldRead(now) || mine == s.position() && !due {
+	own := n.records.Position()
+	if !n.gossip.ShouldRead(now) || own == s.position() && !due {
 		return
 	}
-	n.calls++
-	if !n.reaches {
+	n.storeCalls++
+	if !n.storeReachable {
 		return
 	}
-	if mine.Before(s.position()) {
-		delta := bronzerecord.Delta{Epoch: s.epoch, Whole: mine.IsZero() || mine.Epoch != s.epoch, From: mine.Revision, To: s.revision}
+	if own.Before(s.position()) {
+		delta := bronzerecord.Delta{Epoch: s.epoch, Whole: own.IsZero() || own.Epoch != s.epoch, From: own.Revision, To: s.revision}
 		delta.Changed = []bronzerecord.Record{{Name: "routes", Revision: s.revision}}
 		n.records.Apply(delta)
 		n.gossip.Spread(delta, now)
@@ -166,9 +166,9 @@
 	return list
 }
 
-// startAmong has the first node start when the others have run for 3 s, and returns it with
+// startLate has the first node start when the others have run for 3 s, and returns it with
 // the answer of the one that it asks.
-func startAmong(s *store, nodes []*node, before func(started *node)) (started *node) {
+func startLate(s *store, nodes []*node, before func(started *node)) (started *node) {
 	started = nodes[0]
 	started.stopped = true
 	s.run(nodes[1:], 3*time.Second)
@@ -186,7 +186,7 @@
 func TestNodeThatStartsHasItsPeersRecordsAtOnce(t *testing.T) {
 	for _, fails := range []bool{true, false} {
 		_, nodes := newNetwork(9)
-		started := startAmong(&store{revision: 5}, nodes, func(started *node) {
+		started := startLate(&store{revision: 5}, nodes, func(started *node) {
 			if fails {
 				started.gossip.StoreFailed()
 			}
@@ -200,9 +200,9 @@
 // only be slower. If the store fails then, the peer's records are taken at once.
 func TestNodeThatStartsWithAllOthersAsksTheStoreFirst(t *testing.T) {
 	net, nodes := newNetwork(9)
-	started := startAmong(&store{revision: 5}, nodes, func(*node) {
+	started := startLate(&store{revision: 5}, nodes, func(*node) {
 		for _, d := range nodes[1:] {
-			d.gossip.contact = time.Time{}
+			d.gossip.confirmedAt = time.Time{}
 		}
 	})
 	require.Zero(t, started.records.Position().Revision)
@@ -216,19 +216,19 @@
 func TestNodeThatStartsWaitsToHearOfOthersBeforeItReads(t *testing.T) {
 	_, nodes := newNetwork(9)
 	s := &store{revision: 5}
-	started := startAmong(s, nodes, func(*node) {})
+	started := startLate(s, nodes, func(*node) {})
 	require.False(t, started.gossip.ShouldRead(started.net.now))
-	s.run(nodes, meetFor+step)
+	s.run(nodes, discoveryDelay+step)
 	require.GreaterOrEqual(t, started.gossip.PeerCount(started.net.now), fanout)
 	require.Equal(t, started.gossip.rank(started.net.now).reader, started.gossip.ShouldRead(started.net.now))
 
-	alone := newAlone(s)
-	s.run([]*node{alone}, meetFor+step)
+	alone := newSingleNode(s)
+	s.run([]*node{alone}, discoveryDelay+step)
 	require.True(t, alone.gossip.ShouldRead(alone.net.now), "there is nobody else")
 }
 
-// newAlone returns a node without others.
-func newAlone(s *store) *node {
+// newSingleNode returns a node without others.
+func newSingleNode(s *store) *node {
 	_, nodes := newNetwork(1)
 	s.run(nodes, step)
 	return nodes[0]
@@ -250,12 +250,12 @@
 			s.run(nodes, 1200*time.Millisecond)
 			require.Zero(t, s.behind(nodes), "all have the change")
 			for _, d := range nodes {
-				d.calls = 0
+				d.storeCalls = 0
 			}
 			s.run(nodes, 10*time.Second)
 			calls := 0
 			for _, d := range nodes {
-				calls += d.calls
+				calls += d.storeCalls
 			}
 			// With 78 nodes the news that a reader spreads misses one of them
 			// now and then, which then reads once itself.
@@ -273,7 +273,7 @@
 	s := &store{revision: 1}
 	s.run(nodes, 5*time.Second)
 	for _, d := range readers(nodes) {
-		d.reaches = false
+		d.storeReachable = false
 	}
 	s.revision = 2
 	s.run(nodes, 2800*time.Millisecond)
@@ -305,10 +305,10 @@
 	var started, others []*node
 	var seeds []netip.AddrPort
 	for _, d := range readers(nodes) {
-		d.reaches = false
+		d.storeReachable = false
 	}
 	for _, d := range nodes {
-		if d.reaches && len(started) < 2 {
+		if d.storeReachable && len(started) < 2 {
 			started = append(started, d)
 			continue
 		}
@@ -334,7 +334,7 @@
 	s.run(nodes, 3*time.Second)
 	woken, other := nodes[0], nodes[1]
 	for _, d := range nodes {
-		d.reaches = false
+		d.storeReachable = false
 	}
 	// While the one is suspended, the other's time goes on.
 	woken.stopped = true
@@ -343,7 +343,7 @@
 	require.Greater(t, before, 3*time.Second)
 
 	woken.stopped = false
-	woken.gossip.contact = other.net.now.Add(-100 * time.Millisecond)
+	woken.gossip.confirmedAt = other.net.now.Add(-100 * time.Millisecond)
 	woken.gossip.Suspended(4 * time.Second)
 	s.run(nodes, time.Second)
 	require.Greater(t, other.gossip.SinceConfirmed(other.net.now), before)
@@ -378,7 +378,7 @@
 	late := nodes[3]
 	late.stopped = true
 	s.run(nodes, 5*time.Second)
-	late.stopped, late.reaches = false, false
+	late.stopped, late.storeReachable = false, false
 	s.run(nodes, 2*time.Second)
 	require.EqualValues(t, 1, late.records.Position().Revision)
 	s.revision = 2
@@ -457,9 +457,9 @@
 		woken.gossip.Paused(4*time.Second, 0, woken.net.now)
 		woken.gossip.Tick(woken.net.now)
 		require.Equal(t, n-1, woken.gossip.PeerCount(woken.net.now))
-		calls := woken.calls
+		calls := woken.storeCalls
 		s.run(nodes, 3*time.Second)
-		require.Equal(t, calls, woken.calls)
+		require.Equal(t, calls, woken.storeCalls)
 		require.Less(t, woken.gossip.SinceConfirmed(woken.net.now), 2*time.Second)
 
 		for _, d := range nodes {
--- a/bronzegossip/reader.go
+++ b/bronzegossip/reader.go
@@ -7,30 +7,30 @@
 )
 
 const (
-	// confirmedFor is how old the store's last word may get before the first
+	// confirmationTimeout is how old the store's last word may get before the first
 	// node of each zone reads the store itself: readers hear from it once a
 	// second, and what they hear takes up to half a second to reach all. It
 	// leaves a second of the three that a change may take.
-	confirmedFor = 1900 * time.Millisecond
-	// nextAfter is after how much longer each next node of the zone follows, and
+	confirmationTimeout = 1900 * time.Millisecond
+	// takeOverStep is after how much longer each next node of the zone follows, and
 	// inTurn how many do so at this pace. After them it takes twice as long for each:
 	// that so many of a zone are gone at once is unlikely, that the store fails
 	// everybody isn't, and then all of a large fleet would ask it.
-	nextAfter = 250 * time.Millisecond
-	inTurn    = 3
-	// meetFor is how long a node that has started and has records waits to hear of others
+	takeOverStep    = 250 * time.Millisecond
+	linearTakeOvers = 3
+	// discoveryDelay is how long a node that has started and has records waits to hear of others
 	// before it takes itself for a reader. Otherwise each node that starts is the only one
 	// that it knows of, and asks the store once more; of what changed meanwhile it hears
 	// from its peers.
-	meetFor = 300 * time.Millisecond
+	discoveryDelay = 300 * time.Millisecond
 )
 
 // takeOverAfter returns how old the store's last word must be for a node to read the
 // store that has so many of its zone before it.
 func takeOverAfter(before int) time.Duration {
-	after := confirmedFor + time.Duration(min(before, inTurn))*nextAfter
-	for i := inTurn; i < before && after < rememberFor; i++ {
-		after += nextAfter << (i - inTurn + 1)
+	after := confirmationTimeout + time.Duration(min(before, linearTakeOvers))*takeOverStep
+	for i := linearTakeOvers; i < before && after < forgetTimeout; i++ {
+		after += takeOverStep << (i - linearTakeOvers + 1)
 	}
 	return after
 }
@@ -42,17 +42,17 @@
 	if g.Records.Position().IsZero() {
 		return true
 	}
-	if g.leaving || now.Sub(g.started) < meetFor {
+	if g.leaving || now.Sub(g.startedAt) < discoveryDelay {
 		return false
 	}
 	r := g.rank(now)
-	return r.reader || g.isBehind(now) || g.unconfirmed(now) >= takeOverAfter(r.before)
+	return r.reader || g.isBehind(now) || g.unconfirmedFor(now) >= takeOverAfter(r.before)
 }
 
-// unconfirmed returns for how long this node could have heard the store's word and
+// unconfirmedFor returns for how long this node could have heard the store's word and
 // didn't.
-func (g *Gossip) unconfirmed(now time.Time) time.Duration {
-	return min(g.confirmed(now), now.Sub(g.resumed))
+func (g *Gossip) unconfirmedFor(now time.Time) time.Duration {
+	return min(g.sinceConfirmed(now), now.Sub(g.resumedAt))
 }
 
 // Yields reports whether another node of this one's zone comes before it in the
@@ -79,7 +79,7 @@
 func (g *Gossip) rank(now time.Time) (r rank) {
 	self := &peer{Peer: g.Self, hash: xxhash.Sum64String(g.Self.Name)}
 	first := self
-	g.eachThere(now, func(p *peer) {
+	g.eachLive(now, func(p *peer) {
 		if p.precedes(first) {
 			first = p
 		}
@@ -95,7 +95,7 @@
 	// there is no other zone.
 	r.reader = true
 	elsewhere := self.AvailabilityZone != first.AvailabilityZone
-	g.eachThere(now, func(p *peer) {
+	g.eachLive(now, func(p *peer) {
 		switch {
 		case p == first:
 		case p.AvailabilityZone != first.AvailabilityZone:
--- a/bronzegossip/reader_test.go
+++ b/bronzegossip/reader_test.go
@@ -17,7 +17,7 @@
 
 // naiveRank sorts all nodes and looks for this one.
 func naiveRank(g *Gossip, now time.Time) (r rank) {
-	order := append(g.heard(now), g.Self)
+	order := append(g.livePeers(now), g.Self)
 	slices.SortFunc(order, func(a, b Peer) int {
 		return cmp.Compare(xxhash.Sum64String(a.Name), xxhash.Sum64String(b.Name))
 	})
@@ -43,13 +43,13 @@
 	return r
 }
 
-// newRanked returns a node with some others that it has heard of, some of them
+// newGossipWithPeers returns a node with some others that it has heard of, some of them
 // long ago or leaving.
-func newRanked(n, zones int, now time.Time, age func() time.Duration, leaving func() bool) *Gossip {
+func newGossipWithPeers(n, zones int, now time.Time, age func() time.Duration, leaving func() bool) *Gossip {
 	address := netip.MustParseAddrPort("10.0.0.1:7000")
 	g := &Gossip{Self: Peer{Name: "self", Address: address, AvailabilityZone: "0"}, Records: &bronzerecord.Set{}}
 	for i := range n {
-		g.hearOf(Peer{
+		g.updatePeer(Peer{
 			Name: fmt.Sprint("node-", i), Incarnation: 1, Address: address, AvailabilityZone: fmt.Sprint(i % zones),
 			HeardMS: milliseconds(age()), Leaving: leaving(),
 		}, now)
@@ -60,7 +60,7 @@
 func TestRankAgainstNaive(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	rapid.Check(t, func(t *rapid.T) {
-		g := newRanked(rapid.IntRange(0, 30).Draw(t, "Nodes"), rapid.IntRange(1, 4).Draw(t, "Zones"), now,
+		g := newGossipWithPeers(rapid.IntRange(0, 30).Draw(t, "Nodes"), rapid.IntRange(1, 4).Draw(t, "Zones"), now,
 			func() time.Duration {
 				return time.Duration(rapid.IntRange(0, 8000).Draw(t, "AgeMS")) * time.Millisecond
 			},
@@ -73,7 +73,7 @@
 // store, which it asks itself ten times a second.
 func BenchmarkReads(b *testing.B) {
 	now := time.Now()
-	g := newRanked(489, 6, now, func() time.Duration { return 0 }, func() bool { return false })
+	g := newGossipWithPeers(489, 6, now, func() time.Duration { return 0 }, func() bool { return false })
 	g.Records.Apply(bronzerecord.Delta{Whole: true, To: 1})
 	b.ReportAllocs()
 	for b.Loop() {
@@ -94,15 +94,15 @@
 	}
 	g.Tick(now)
 	for revision := uint64(1); revision < 50; revision++ {
-		g.noteBehind(bronzerecord.Position{Revision: revision}, now)
+		g.noteLatest(bronzerecord.Position{Revision: revision}, now)
 		now = now.Add(step)
-		g.noteBehind(bronzerecord.Position{Revision: revision + 1}, now)
+		g.noteLatest(bronzerecord.Position{Revision: revision + 1}, now)
 		require.False(t, g.isBehind(now))
 		has(revision)
 		require.False(t, g.isBehind(now))
 	}
-	require.False(t, g.isBehind(now.Add(behindFor-step)))
-	require.True(t, g.isBehind(now.Add(behindFor)))
+	require.False(t, g.isBehind(now.Add(behindTimeout-step)))
+	require.True(t, g.isBehind(now.Add(behindTimeout)))
 	has(50)
-	require.False(t, g.isBehind(now.Add(behindFor)))
+	require.False(t, g.isBehind(now.Add(behindTimeout)))
 }
--- a/bronzegossip/report.go
+++ b/bronzegossip/report.go
@@ -3,26 +3,26 @@
 import "time"
 
 const (
-	// reportsEvery is how often a node passes on reports at most, and largeReportsEvery
+	// reportInterval is how often a node passes on reports at most, and largeReportsEvery
 	// the same with more than tellAll others, and reportEach later for each report of the
 	// last time, so that many reports take no more bytes a second than few.
-	reportsEvery      = 20 * time.Millisecond
-	largeReportsEvery = 100 * time.Millisecond
-	reportEach        = 5 * time.Millisecond
+	reportInterval           = 20 * time.Millisecond
+	largeFleetReportInterval = 100 * time.Millisecond
+	reportIntervalPerReport  = 5 * time.Millisecond
 )
 
 // SpreadReports passes on what is new in Reports, at once or as soon as it may. Reports of a
 // server that fails reach all nodes within some steps, so that callers of each don't have
 // to find it out.
 func (g *Gossip) SpreadReports(now time.Time) {
-	g.do(now, func() {
+	g.runLocked(now, func() {
 		g.reportsDue = true
-		g.passReports(now)
+		g.sendDueReports(now)
 	})
 }
 
-// passReports tells a few nodes what is due; the caller holds the lock.
-func (g *Gossip) passReports(now time.Time) {
+// sendDueReports tells a few nodes what is due; the caller holds the lock.
+func (g *Gossip) sendDueReports(now time.Time) {
 	if !g.reportsDue || now.Before(g.nextReports) {
 		return
 	}
@@ -31,9 +31,9 @@
 	if len(reports) == 0 {
 		return
 	}
-	every := reportsEvery
-	if len(g.peers) > tellAll {
-		every = largeReportsEvery + time.Duration(len(reports))*reportEach
+	every := reportInterval
+	if len(g.peers) > smallFleet {
+		every = largeFleetReportInterval + time.Duration(len(reports))*reportIntervalPerReport
 	}
 	g.nextReports = now.Add(every)
 	for _, to := range g.targets(now, fanout) {
--- a/bronzegossip/report_test.go
+++ b/bronzegossip/report_test.go
@@ -12,15 +12,15 @@
 	"bronzeusher.example/bronzeusher/bronzerecord"
 )
 
-// hearing is what a node in a test has heard of servers: the reports, by server.
-type hearing map[uint32]Report
+// reportsByServer is what a node in a test has heard of servers: the reports, by server.
+type reportsByServer map[uint32]Report
 
-// hear lets the nodes keep and pass on what they hear.
-func hear(nodes []*node) (heard []hearing) {
+// collectReports lets the nodes keep and pass on what they collectReports.
+func collectReports(nodes []*node) (heard []reportsByServer) {
 	for _, d := range nodes {
-		h := hearing{}
+		h := reportsByServer{}
 		heard = append(heard, h)
-		told := hearing{}
+		told := reportsByServer{}
 		d.gossip.Reports = func(all bool, _ time.Time) (list []Report) {
 			for _, r := range h {
 				if _, known := told[r.Server]; all || !known {
@@ -52,7 +52,7 @@
 		net, nodes := newNetwork(size)
 		s := &store{revision: 5}
 		s.run(nodes, 15*time.Second)
-		heard := hear(nodes)
+		heard := collectReports(nodes)
 		sent := net.sent
 		s.run(nodes, 2*time.Second)
 		usual := net.sent - sent
@@ -61,7 +61,7 @@
 		nodes[0].gossip.SpreadReports(net.now)
 		net.deliver()
 		sent = net.sent
-		s.run(nodes, 2*largeInterval)
+		s.run(nodes, 2*largeFleetInterval)
 		for i := range heard {
 			require.Contains(t, heard[i], uint32(42), "node %d of %d", i, size)
 		}
@@ -76,7 +76,7 @@
 	net, nodes := newNetwork(78)
 	s := &store{revision: 5}
 	s.run(nodes, 15*time.Second)
-	heard := hear(nodes)
+	heard := collectReports(nodes)
 	passed, bytes := 0, 0
 	g := &nodes[5].gossip
 	send := g.Send
@@ -98,7 +98,7 @@
 		net.deliver()
 		s.run(nodes, step)
 	}
-	require.LessOrEqual(t, passed, fanout*(int(2*time.Second/largeReportsEvery)+1))
+	require.LessOrEqual(t, passed, fanout*(int(2*time.Second/largeFleetReportInterval)+1))
 	require.LessOrEqual(t, bytes, 2*6000)
 	s.run(nodes, 2*time.Second)
 	for i := range heard {
@@ -123,7 +123,7 @@
 	for i := range 3 {
 		p := g.Self
 		p.Name = fmt.Sprintf("edge-%d", i)
-		g.hearOf(p, now)
+		g.updatePeer(p, now)
 	}
 	g.SpreadReports(now)
 	require.Len(t, sent, fanout)
--- a/bronzegossip/size_test.go
+++ b/bronzegossip/size_test.go
@@ -29,7 +29,7 @@
 	for i := range 20 {
 		p := g.Self
 		p.Name = fmt.Sprintf("edge-klang-valley-%d", i)
-		g.hearOf(p, now)
+		g.updatePeer(p, now)
 	}
 	g.Tick(now)
 	require.NotEmpty(t, sent)
@@ -39,7 +39,7 @@
 		require.NoError(t, err)
 		require.Len(t, m.Loads, len(loads))
 		require.Equal(t, latencies, m.Latencies)
-		require.Len(t, m.Peers, peersTold)
+		require.Len(t, m.Peers, peersPerMessage)
 	}
-	t.Logf("%d bytes with %d loads and %d nodes", len(sent[0]), len(loads), peersTold)
+	t.Logf("%d bytes with %d loads and %d nodes", len(sent[0]), len(loads), peersPerMessage)
 }
