--- a/bronzegossip/confirm.go
+++ b/bronzegossip/confirm.go
@@ -6,8 +6,8 @@
 	"bronzeusher.example/bronzeusher/bronzerecord"
 )
 
-// StoreConfirmed notes that the store has just told this node that it has the newest
-// records, and spreads that.
+// StoreConfirmed notes that the store has just confirmed that this node has the newest
+// records, and forwards the confirmation if the previous one is old enough.
 func (g *Gossip) StoreConfirmed(now time.Time) {
 	g.runLocked(now, func() {
 		stale := now.Sub(g.confirmedAt) >= minConfirmationAdvance
@@ -18,7 +18,7 @@
 	})
 }
 
-// noteLatest keeps track of whether newer records are known.
+// noteLatest notes that a peer has records up to p.
 func (g *Gossip) noteLatest(p bronzerecord.Position, now time.Time) {
 	if g.latest.Before(p) {
 		g.latest = p
@@ -26,10 +26,9 @@
 	g.updateBehind(now)
 }
 
-// updateBehind begins to wait for the newest records that are known when the one that was
-// waited for is there. While servers are replaced there is a newer one several times a
-// second: a node that has each a moment later is never without one that it misses, and
-// isn't behind for that.
+// updateBehind starts to wait for the latest known position once the awaited one is
+// reached. While servers are replaced there is a new position several times a second: a
+// node that reaches each a moment later always misses the newest one, but isn't behind.
 func (g *Gossip) updateBehind(now time.Time) {
 	own := g.Records.Position()
 	switch {
@@ -40,7 +39,7 @@
 	}
 }
 
-// isBehind reports whether newer records have been known for long.
+// isBehind reports whether this node has missed records that it knows of for too long.
 func (g *Gossip) isBehind(now time.Time) bool {
 	g.updateBehind(now)
 	limit := behindTimeout
@@ -50,19 +49,21 @@
 	return !g.behindSince.IsZero() && now.Sub(g.behindSince) >= limit
 }
 
-// mergeConfirmation takes in when the store last said that there was nothing newer than the
-// sender's records. It counts only if this node has them, or newer ones: what it
-// has is not confirmed otherwise.
-func (g *Gossip) mergeConfirmation(p bronzerecord.Position, contact, now time.Time) (news bool) {
-	if g.Records.Position().Before(p) || !contact.After(g.confirmedAt) {
+// mergeConfirmation merges a confirmation by the store of records at position p. It
+// applies only if this node has these records or newer ones: otherwise its own aren't the
+// confirmed ones. forward reports whether the confirmation is new and recent enough to be
+// forwarded.
+func (g *Gossip) mergeConfirmation(p bronzerecord.Position, confirmedAt, now time.Time) (forward bool) {
+	if g.Records.Position().Before(p) || !confirmedAt.After(g.confirmedAt) {
 		return false
 	}
-	news = contact.Sub(g.confirmedAt) >= minConfirmationAdvance
-	g.confirmedAt = contact
-	return news && now.Sub(contact) < confirmationTimeout
+	forward = confirmedAt.Sub(g.confirmedAt) >= minConfirmationAdvance
+	g.confirmedAt = confirmedAt
+	return forward && now.Sub(confirmedAt) < confirmationTimeout
 }
 
-// SinceConfirmed returns how long ago the store confirmed this node's records.
+// SinceConfirmed returns how long ago the store confirmed this node's records, or the
+// time since the first Tick if it hasn't yet.
 func (g *Gossip) SinceConfirmed(now time.Time) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/bronzegossip/doc.go
+++ b/bronzegossip/doc.go
@@ -1,28 +1,28 @@
-// Package bronzegossip keeps the nodes of a fleet in step where nothing is
-// written anywhere: each tells a few others, by datagrams, which revision of
-// the store's records it has, how long ago some node heard that revision from
-// the store itself, and which other nodes it knows. It opens no socket.
+// Package bronzegossip keeps the nodes of a fleet in sync by gossip, without writing to the
+// store. Each node tells a few peers by datagram which revision of the store's records it
+// has, how long ago the store confirmed that revision to any node, and which peers it knows.
+// The package opens no socket.
 //
-// From that each node works out whether it is to read the store. Two nodes in
-// different zones do all the time. When the news that they spread get old,
-// because they are gone, cut off or refused, the first node of each zone takes
-// over, then the others one after the other. Two readers too many cost a few
-// calls; none costs the time until the next in line is due.
+// From this each node decides whether it should read the store. Two nodes in different zones
+// always do. When the confirmations that they spread get too old, because the readers are
+// gone, cut off or refused by the store, the first node of each zone takes over, and the
+// others follow one by one. Two readers too many cost a few calls; having none costs the time
+// until the next node takes over.
 //
-// A node that hears of a higher revision fetches the difference from whoever
-// named it. Small differences come with the news.
+// A node that hears of a higher revision fetches the difference from the peer that named it.
+// Small differences are part of the message.
 //
-// Beside that the messages carry what nodes have on servers (Load), and what they found
-// of servers that don't answer (Report), which each node passes on as it comes.
+// The messages also carry the loads that nodes put on servers (Load), and what nodes have
+// observed of servers that don't answer (Report), which each node forwards.
 //
-// Nobody is declared dead: a node that isn't heard of is no longer told, and
-// nothing else depends on it. That is why this is not package bronzefleet,
-// whose views decide who owns a flow.
+// No node is declared dead: one that isn't heard of gets no more messages, and nothing else
+// depends on it. Package bronzefleet, whose views decide which node owns a flow, is separate
+// for that reason.
 //
 // # Usage
 //
 //	g := &bronzegossip.Gossip{Self: self, Records: &records, Seeds: seeds, Send: send}
 //	go every(bronzegossip.TickInterval, func() { g.Tick(time.Now()) })
 //	g.Handle(b, time.Now()) // for each datagram
-//	follower.Active = func() bool { return g.Reads(time.Now()) }
+//	follower.Active = func() bool { return g.ShouldRead(time.Now()) }
 package bronzegossip
--- a/bronzegossip/gossip.go
+++ b/bronzegossip/gossip.go
@@ -11,114 +11,119 @@
 )
 
 const (
-	// TickInterval is how often Tick is to be called.
+	// TickInterval is the interval at which Tick should be called.
 	TickInterval = 100 * time.Millisecond
-	// gossipInterval is how often a node tells others about itself when there is
-	// nothing new, and largeInterval the same with more than tellAll others, whose
-	// messages carry more loads.
+	// gossipInterval is the mean time between two rounds of requests to peers.
+	// largeFleetInterval applies with more than smallFleet known peers, whose messages
+	// carry more loads.
 	gossipInterval     = 400 * time.Millisecond
 	largeFleetInterval = time.Second
-	// fanout is how many others a node tells at a time. News that each passes on so
-	// reaches a fleet in few steps.
+	// fanout is the number of peers that a node sends to in a round. Each receiver
+	// forwards news to as many, so it reaches the whole fleet in a few rounds.
 	fanout = 3
-	// smallFleet is up to how many others a node that has news tells all of them.
+	// smallFleet is the number of known peers up to which news goes to all of them
+	// instead of fanout.
 	smallFleet = 12
-	// minConfirmationAdvance is by how much the store's last word must be newer than what was
-	// known to be passed on at once.
+	// minConfirmationAdvance is how much newer than the last known one a confirmation by
+	// the store must be to be forwarded at once.
 	minConfirmationAdvance = 500 * time.Millisecond
-	// startupFetchDelay is how long a node that has started waits for the store's
-	// records, unless the store fails, before it asks a peer for them.
+	// startupFetchDelay is how long a starting node without records waits for the store
+	// before it fetches them from a peer whose records have no recent confirmation. After
+	// a failure of the store it doesn't wait.
 	startupFetchDelay = 500 * time.Millisecond
-	// behindTimeout is how long a node may know of newer records before it
-	// reads the store itself. A fetch takes some tens of milliseconds. behindEpochFor
-	// is the same for records of a later epoch, which all nodes fetch whole, a few from
-	// each that has them.
+	// behindTimeout is how long a node may know of newer records before it reads the
+	// store itself. A fetch from a peer takes some tens of milliseconds.
+	// epochBehindTimeout applies to records of a later epoch, which every node fetches as
+	// a snapshot, a few nodes from each peer that has it.
 	behindTimeout      = 300 * time.Millisecond
 	epochBehindTimeout = 1500 * time.Millisecond
-	// peersPerMessage is how many other nodes a message names.
+	// peersPerMessage is the number of peers that a full message names.
 	peersPerMessage = 3
-	// maxDeltaBytes bounds the records that come with the news, in bytes.
+	// maxDeltaBytes is the size up to which a delta is sent with the news of it.
 	maxDeltaBytes = 700
 )
 
-// Gossip is one node's part. Its exported fields must not change after the
+// Gossip runs the protocol for one node. Its exported fields must not change after the
 // first use. All methods may be called concurrently.
 type Gossip struct {
-	// Self is this node. Incarnation is to be higher at each start.
+	// Self describes this node. Its Incarnation must be higher at each start.
 	Self Peer
-	// Seeds are addresses that may be nodes'; SetSeeds changes them.
+	// Seeds are addresses at which there may be other nodes. SetSeeds replaces them.
 	Seeds []netip.AddrPort
-	// Records are this node's.
+	// Records is this node's copy of the store's records.
 	Records *bronzerecord.Set
-	// Send sends a datagram. It must not wait.
+	// Send sends a datagram. It must not block.
 	Send func(to netip.AddrPort, b []byte)
-	// Fetch is called when peer has newer records than this node, with the position of
-	// this node's. It must not wait; calls while one is under way are to be
-	// ignored.
+	// Fetch is called when peer has newer records than this node, whose position is
+	// since. It must not block, and must ignore calls while a fetch is in progress.
 	Fetch func(peer Peer, since bronzerecord.Position)
-	// FetchLostHistory is called when peer remembers more than this node of what the store lost
-	// by coming back from a copy. It is called like Fetch; nil if nothing is remembered.
+	// FetchLostHistory is called, like Fetch, when peer knows more than this node of the
+	// history that the store lost when it was restored from a backup. It is nil if lost
+	// history isn't kept.
 	FetchLostHistory func(peer Peer)
 	// Random returns a number in [0, n); rand.IntN if nil.
 	Random func(n int) int
-	// Loads returns this node's loads on servers, nil for none, and the latencies of the
-	// same servers, in milliseconds.
+	// Loads returns this node's loads on servers, nil if there are none, and the
+	// latencies of the same servers in milliseconds.
 	Loads func() (loads []Load, latencies []uint32)
-	// OnLoads is called with another node's loads, and the latencies of their servers if
-	// the node told them.
+	// OnLoads is called with a peer's loads, and with the latencies of the same servers
+	// if the message has them.
 	OnLoads func(from string, loads []Load, latencies []uint32, now time.Time)
-	// Reports returns what is to be told of servers, all there is or what is new since the
-	// last call that asked for that.
+	// Reports returns the reports on servers to send: all of them, or those that are new
+	// since the last call with all false.
 	Reports func(all bool, now time.Time) []Report
-	// OnReports is called with what another node tells of servers. Report passes on what
-	// is new in it.
+	// OnReports is called with a peer's reports on servers. SpreadReports forwards those
+	// that are new.
 	OnReports func(reports []Report, now time.Time)
-	// OnPeer is called when a node is heard of or no longer is.
+	// OnPeer is called with PeerFound, PeerLost or PeerLeft when the state of a peer
+	// changes.
 	OnPeer func(p Peer, event string)
-	// Count is called with the reason of each refusal.
+	// Count is called with the reason for each message that is dropped.
 	Count func(reason string)
 
 	mu sync.Mutex
-	// peers are all nodes known, byName the same by name. chosen is what choose
-	// works with.
+	// peers holds all known peers by name, byName the same in the order of names.
+	// candidates is reused by randomPeers.
 	peers      map[string]*peer
 	byName     []*peer
 	candidates []*peer
-	// confirmedAt is when the store last said to some node that there is nothing newer
-	// than this node's records.
+	// confirmedAt is when the store last confirmed to any node that there is nothing
+	// newer than this node's records.
 	confirmedAt time.Time
 	nextGossip  time.Time
-	// nextReports is when reports may be passed on next, and reportsDue says that there
-	// are some.
+	// nextReports is the earliest time of the next round of reports. reportsDue is set if
+	// there are reports to send.
 	nextReports time.Time
 	reportsDue  bool
 	startedAt   time.Time
-	// behindSince is since when this node knows of the position missed, which it doesn't have;
-	// the zero time if it has all that it knows of. highest is the latest that it knows of.
+	// behindSince is since when this node has known of the position awaited, which it
+	// hasn't reached, or zero if it has reached latest, the highest position that it
+	// knows of.
 	behindSince time.Time
 	awaited     bronzerecord.Position
 	latest      bronzerecord.Position
-	// newerPeer is the node that last told of newer records than this one's, and
-	// storeFailed says that the store has failed this node.
+	// newerPeer is the peer that last advertised newer records than this node's.
+	// storeFailed is set once the store has failed this node.
 	newerPeer   Peer
 	storeFailed bool
 	leaving     bool
-	// resumedAt is when the node last went on after it stood still, and unheard for how long
-	// it heard nobody by then.
+	// resumedAt is when the node last resumed after a pause, and pausedFor how long it
+	// had received nothing by then.
 	resumedAt time.Time
 	pausedFor time.Duration
 	outbox    []datagram
 }
 
-// datagram is a message that is sent after the lock is released.
+// datagram is a message to be sent after the lock is released.
 type datagram struct {
 	to netip.AddrPort
 	m  Message
-	// full says that the message is to have loads and other nodes.
+	// full messages also carry loads, latencies and reports.
 	full bool
 }
 
-// Spread tells others what changed in this node's records.
+// Spread sends peers what changed in this node's records: the delta itself if it is
+// small, only the new position otherwise.
 func (g *Gossip) Spread(delta bronzerecord.Delta, now time.Time) {
 	g.runLocked(now, func() {
 		if estimateBytes(delta) <= maxDeltaBytes && !delta.Whole {
@@ -139,8 +144,8 @@
 	return n
 }
 
-// Suspended takes into account that the clock has stood still for d while the node
-// didn't run: the store's last word is older by that.
+// Suspended accounts for the clock having stopped for d while the node was suspended: the
+// last confirmation by the store is older by d.
 func (g *Gossip) Suspended(d time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -149,10 +154,11 @@
 	}
 }
 
-// Paused takes into account that the node didn't run until now: for paused by its clock,
-// and for suspended that the clock didn't count. It heard nobody meanwhile, and nobody is
-// lost for that. Otherwise a node that woke would take itself for the only one and the
-// store's last word for lost, and read the store with all others that woke.
+// Paused accounts for a pause of this node that ends now. It lasted for paused by the
+// clock, and for suspended that the clock didn't count. The node received nothing
+// meanwhile, so no peer is lost for that time. Otherwise a resumed node would consider
+// itself the only one and the store's confirmation too old, and would read the store
+// together with all other nodes that resumed.
 func (g *Gossip) Paused(paused, suspended time.Duration, now time.Time) {
 	g.Suspended(suspended)
 	g.mu.Lock()
@@ -160,7 +166,7 @@
 	g.resumedAt, g.pausedFor = now, paused
 }
 
-// Leave tells all nodes known that this one is about to end.
+// Leave tells all live peers that this node is about to stop.
 func (g *Gossip) Leave(now time.Time) {
 	g.runLocked(now, func() {
 		g.leaving = true
@@ -170,14 +176,15 @@
 	})
 }
 
-// SetSeeds replaces the seeds.
+// SetSeeds replaces Seeds.
 func (g *Gossip) SetSeeds(seeds []netip.AddrPort) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.Seeds = seeds
 }
 
-// Tick does what is due.
+// Tick does the periodic work: it expires peers, sends reports that are due and starts a
+// round of requests when it is time.
 func (g *Gossip) Tick(now time.Time) {
 	g.runLocked(now, func() {
 		if g.startedAt.IsZero() {
@@ -212,8 +219,8 @@
 	return rand.IntN(n)
 }
 
-// probeLost asks one of the nodes that are no longer heard of. After a
-// partition its sides find each other by that.
+// probeLost sends a request to one of the lost peers, so that the sides of a partition
+// find each other once it ends.
 func (g *Gossip) probeLost(now time.Time) {
 	var lost []*peer
 	for _, p := range g.byName {
@@ -226,8 +233,8 @@
 	}
 }
 
-// probeSeeds asks the seeds while few nodes are heard of. Seeds may be
-// stale; among the nodes heard of are soon better ones.
+// probeSeeds sends requests to the seeds while few peers are live. Seeds may be stale,
+// and the live peers soon include better ones.
 func (g *Gossip) probeSeeds(now time.Time) {
 	if g.liveCount(now) >= fanout {
 		return
@@ -239,7 +246,7 @@
 	}
 }
 
-// Handle takes a datagram of another node.
+// Handle processes a datagram from another node.
 func (g *Gossip) Handle(b []byte, now time.Time) {
 	m, err := decode(b)
 	if err != nil {
@@ -265,8 +272,8 @@
 	}
 }
 
-// needsLostHistory reports whether the sender of a message remembers earlier epochs further than this
-// node, which may have started since.
+// needsLostHistory reports whether the sender of m knows earlier epochs up to a later
+// position than this node, which may have started since.
 func (g *Gossip) needsLostHistory(m *Message) bool {
 	if m.former().IsZero() || m.Epoch != g.Records.Position().Epoch {
 		return false
@@ -275,8 +282,8 @@
 	return former.Before(m.former())
 }
 
-// StoreFailed notes that the store didn't answer this node. A node that has no
-// records yet has them from a peer at once then: its callers wait for them.
+// StoreFailed notes that the store didn't answer this node. A node that has no records
+// yet then fetches them from a peer at once, because its callers are waiting for them.
 func (g *Gossip) StoreFailed() {
 	g.mu.Lock()
 	g.storeFailed = true
@@ -287,11 +294,11 @@
 	}
 }
 
-// shouldFetch reports whether to fetch records from the sender of a message. A node that has
-// none reads the store at its start, and ends that when it has them from a peer: from one
-// whose records the store has confirmed of late, which is there sooner than a dozen pages.
-// Where all start at once nobody's are, and hundreds that asked each other for all records
-// would only be slower.
+// shouldFetch reports whether to fetch records from the sender of m. A starting node
+// without records reads the store, and stops when it has them from a peer. It fetches
+// from a peer whose records the store has confirmed recently, which takes less time than
+// loading a dozen pages. When all nodes start at once no peer's records are confirmed,
+// and hundreds of nodes that fetch everything from each other would only be slower.
 func (g *Gossip) shouldFetch(own bronzerecord.Position, m *Message, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -302,7 +309,8 @@
 	return !own.IsZero() || confirmed || g.storeFailed || now.Sub(g.startedAt) >= startupFetchDelay
 }
 
-// merge takes a message in, and passes on what is new in it.
+// merge updates the node's state from a message and forwards what is new. The caller
+// holds the lock.
 func (g *Gossip) merge(m *Message, applied bool, now time.Time) {
 	g.updateSender(m.From, now)
 	for _, p := range m.Peers {
@@ -312,18 +320,19 @@
 		g.newerPeer = m.From
 	}
 	g.noteLatest(m.position(), now)
-	news := g.mergeConfirmation(m.position(), now.Add(-time.Duration(m.ContactMS)*time.Millisecond), now)
+	forward := g.mergeConfirmation(m.position(), now.Add(-time.Duration(m.ContactMS)*time.Millisecond), now)
 	switch {
 	case applied:
 		g.spread(now, m.Delta)
-	case news:
+	case forward:
 		g.spread(now, nil)
 	case m.Answer:
 		g.queueReply(m.From.Address, now)
 	}
 }
 
-// spread tells some others, or all if they are few.
+// spread queues an update for fanout random live peers, or for all of them in a small
+// fleet.
 func (g *Gossip) spread(now time.Time, delta *bronzerecord.Delta) {
 	n := fanout
 	if len(g.peers) <= smallFleet {
@@ -334,7 +343,7 @@
 	}
 }
 
-// targets returns the addresses of up to n nodes that were heard of lately.
+// targets returns the addresses of up to n random live peers.
 func (g *Gossip) targets(now time.Time, n int) (to []netip.AddrPort) {
 	for _, p := range g.randomPeers(now, n) {
 		to = append(to, p.Address)
@@ -342,8 +351,8 @@
 	return to
 }
 
-// queueRequest queues a message that has all there is and wants the same back, answer
-// one that has it; the caller holds the lock.
+// queueRequest queues a full message that asks for a full reply. The caller holds the
+// lock, as for queueReply and queueUpdate.
 func (g *Gossip) queueRequest(to netip.AddrPort, now time.Time) {
 	g.queue(to, now, Message{Answer: true}, true)
 }
@@ -352,7 +361,8 @@
 	g.queue(to, now, Message{}, true)
 }
 
-// queueUpdate queues news alone.
+// queueUpdate queues a message with this node's position and, unless it is nil, the delta
+// that led there.
 func (g *Gossip) queueUpdate(to netip.AddrPort, now time.Time, delta *bronzerecord.Delta) {
 	g.queue(to, now, Message{Delta: delta}, false)
 }
@@ -372,7 +382,7 @@
 	g.outbox = append(g.outbox, datagram{to: to, m: m, full: whole})
 }
 
-// samplePeers returns a few nodes to name to others.
+// samplePeers returns a few random live peers to name in a message.
 func (g *Gossip) samplePeers(now time.Time) (peers []Peer) {
 	for _, p := range g.randomPeers(now, peersPerMessage) {
 		peers = append(peers, p.advertised(now))
@@ -380,7 +390,7 @@
 	return peers
 }
 
-// runLocked runs a step under the lock and sends what it left to be sent.
+// runLocked runs step under the lock and then sends the messages that it queued.
 func (g *Gossip) runLocked(now time.Time, step func()) {
 	g.mu.Lock()
 	step()
@@ -398,7 +408,8 @@
 	}
 }
 
-// fillFull puts into the messages that have all there is what is gathered once for all of them.
+// fillFull adds loads, latencies and reports to the full messages. They are collected
+// once for all of them.
 func (g *Gossip) fillFull(out []datagram, now time.Time) {
 	if !slices.ContainsFunc(out, func(d datagram) bool { return d.full }) {
 		return
@@ -416,8 +427,8 @@
 	}
 }
 
-// encodeBounded returns the bytes of m, without reports and then without what else may be long if
-// they are too many.
+// encodeBounded returns the encoding of m. If it is longer than MaxMessageBytes, m loses
+// its reports, and if that isn't enough its delta, loads and latencies.
 func (m *Message) encodeBounded() (b []byte, err error) {
 	b, err = encode(m)
 	if err == nil && len(b) > MaxMessageBytes {
@@ -437,13 +448,14 @@
 	}
 }
 
-// neverConfirmedMS is the age of the store's last word to a node that has heard none, in
-// milliseconds: 24 days. The time since its start must not stand for it. Others
-// would take it for the store's word, and while nodes start one after the other
-// never find that those that read the store are cut off from it.
+// neverConfirmedMS is the confirmation age that a node reports if it has no confirmation
+// by the store, in milliseconds: 24 days. The time since its start must not be used
+// instead: peers would take it for a confirmation, and while nodes start one after the
+// other would never notice that the readers are cut off from the store.
 const neverConfirmedMS = 1 << 31
 
-// confirmationAgeMS returns how long ago the store's last word was, for others.
+// confirmationAgeMS returns the age of the store's last confirmation as it is sent to
+// peers.
 func (g *Gossip) confirmationAgeMS(now time.Time) uint32 {
 	if g.confirmedAt.IsZero() {
 		return neverConfirmedMS
--- a/bronzegossip/peers.go
+++ b/bronzegossip/peers.go
@@ -9,33 +9,34 @@
 )
 
 const (
-	// livenessTimeout is how long a node counts as there after it was last heard,
-	// directly or by others. With more than tellAll others it is largeHeardFor, and
-	// heardForEach more for each of them: a node hears so many names a second, so of more
-	// nodes it hears each less often. Taken for lost too soon, many would read the store
-	// that needn't, and loads be taken for less than they are. That nodes which end count
-	// for longer costs messages to them; who reads the store for them doesn't wait for it
-	// (confirmedFor).
+	// livenessTimeout is how long a node counts as live after it was last heard from,
+	// directly or through others. With more than smallFleet known peers it is
+	// largeFleetLivenessTimeout, and livenessTimeoutPerPeer more for each of them: a node
+	// hears of a limited number of peers a second, so the more there are, the less often
+	// it hears of each. If peers were lost too soon, many nodes would read the store
+	// unnecessarily, and loads would be underestimated. A long timeout costs messages to
+	// nodes that have stopped. It doesn't delay the takeover from readers that stop,
+	// which depends on confirmationTimeout.
 	livenessTimeout           = 2500 * time.Millisecond
 	largeFleetLivenessTimeout = 5 * time.Second
 	livenessTimeoutPerPeer    = 100 * time.Millisecond
-	// forgetTimeout is how long a node that isn't heard any more is told now and
-	// then: after a partition the two sides find each other by that. It is over
-	// heardFor with 490 nodes.
+	// forgetTimeout is how long after a peer was last heard from it is remembered.
+	// Requests go to lost peers now and then, so that the sides of a partition find each
+	// other once it ends. The timeout is longer than the liveness timeout with 490 nodes.
 	forgetTimeout = 3 * time.Minute
 )
 
-// Events of OnPeer.
+// Events passed to Gossip.OnPeer.
 const (
-	// PeerFound: a node is heard of.
+	// PeerFound: a node is heard of for the first time, or again after it was lost.
 	PeerFound = "Met"
-	// PeerLost: a node has not been heard of for some time.
+	// PeerLost: a node has not been heard of for the liveness timeout.
 	PeerLost = "Lost"
-	// PeerLeft: a node has said that it ends.
+	// PeerLeft: a node has announced that it stops.
 	PeerLeft = "Left"
 )
 
-// peer is a node as this one knows it.
+// peer is what this node knows of another one.
 type peer struct {
 	Peer
 	hash      uint64 // of the name
@@ -43,8 +44,9 @@
 	lost      bool
 }
 
-// updateSender notes a node that was heard itself. That it is there needs no better
-// proof: its incarnation may be lower than before if its clock went back.
+// updateSender updates the peer that sent a message. The message itself proves that the
+// peer is live, so that its incarnation may be lower than the known one: its clock may
+// have gone back.
 func (g *Gossip) updateSender(p Peer, now time.Time) {
 	p.HeardMS = 0
 	if known := g.peers[p.Name]; known != nil {
@@ -53,7 +55,7 @@
 	g.updatePeer(p, now)
 }
 
-// updatePeer notes a node that was heard of HeardMS ago.
+// updatePeer updates a peer that was last heard from p.HeardMS ago.
 func (g *Gossip) updatePeer(p Peer, now time.Time) {
 	if p.Name == "" || p.Name == g.Self.Name || !p.Address.IsValid() {
 		return
@@ -86,7 +88,8 @@
 	}
 }
 
-// expire forgets nodes that were last heard of long ago.
+// expire marks the peers lost that are past the liveness timeout, and forgets those past
+// forgetTimeout.
 func (g *Gossip) expire(now time.Time) {
 	for name, p := range g.peers {
 		age := now.Sub(p.lastHeard)
@@ -108,27 +111,25 @@
 	}
 }
 
-// find returns where a name is in byName, or would be.
+// find returns the index of a name in byName, or the one at which to insert it.
 func (g *Gossip) find(name string) (i int, found bool) {
 	return slices.BinarySearchFunc(g.byName, name, func(p *peer, name string) int { return cmp.Compare(p.Name, name) })
 }
 
-// livePeers returns the nodes that were livePeers of lately, by name, with how long
-// ago that was.
+// livePeers returns the live peers by name, as they are advertised.
 func (g *Gossip) livePeers(now time.Time) (peers []Peer) {
 	g.eachLive(now, func(p *peer) { peers = append(peers, p.advertised(now)) })
 	return peers
 }
 
-// advertised returns what others are advertised of the node.
+// advertised returns the peer with the time since it was last heard from.
 func (p *peer) advertised(now time.Time) Peer {
 	q := p.Peer
 	q.HeardMS = milliseconds(now.Sub(p.lastHeard))
 	return q
 }
 
-// eachLive calls do with each node that was heard of lately and isn't leaving,
-// by name.
+// eachLive calls do with each live peer that isn't leaving, by name.
 func (g *Gossip) eachLive(now time.Time, do func(p *peer)) {
 	limit := g.livenessTimeout(now)
 	for _, p := range g.byName {
@@ -138,13 +139,14 @@
 	}
 }
 
-// liveCount returns how many nodes were heard of lately.
+// liveCount returns the number of live peers.
 func (g *Gossip) liveCount(now time.Time) (n int) {
 	g.eachLive(now, func(*peer) { n++ })
 	return n
 }
 
-// randomPeers returns up to n nodes that were heard of lately, at random.
+// randomPeers returns up to n live peers at random. The result is valid until the next
+// call.
 func (g *Gossip) randomPeers(now time.Time, n int) []*peer {
 	g.candidates = g.candidates[:0]
 	g.eachLive(now, func(p *peer) { g.candidates = append(g.candidates, p) })
@@ -156,8 +158,8 @@
 	return g.candidates[:n]
 }
 
-// livenessTimeout returns how long a node counts as there after it was last heard. Time in which
-// this one heard nobody doesn't count, until all have had time to be heard again.
+// livenessTimeout returns how long a peer counts as live after it was last heard from. A
+// pause of this node extends it until all peers have had time to be heard from again.
 func (g *Gossip) livenessTimeout(now time.Time) (d time.Duration) {
 	d = livenessTimeout
 	if len(g.peers) > smallFleet {
@@ -169,16 +171,15 @@
 	return d
 }
 
-// PeerCount returns how many nodes were heard of lately.
+// PeerCount returns the number of live peers.
 func (g *Gossip) PeerCount(now time.Time) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.liveCount(now)
 }
 
-// KnownPeers returns the names of the nodes of an AvailabilityZone that were heard of in the
-// last minutes, whether they are there or not, in order, and how many nodes of all zones
-// were.
+// KnownPeers returns the names of the peers in an AvailabilityZone that were heard of in
+// the last minutes, live or not, in order. all is the number of such peers in all zones.
 func (g *Gossip) KnownPeers(zone string) (names []string, all int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -190,7 +191,7 @@
 	return names, len(g.byName)
 }
 
-// Peers returns the nodes that were heard of lately, by name.
+// Peers returns the live peers by name.
 func (g *Gossip) Peers(now time.Time) []Peer {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/bronzegossip/reader.go
+++ b/bronzegossip/reader.go
@@ -7,26 +7,25 @@
 )
 
 const (
-	// confirmationTimeout is how old the store's last word may get before the first
-	// node of each zone reads the store itself: readers hear from it once a
-	// second, and what they hear takes up to half a second to reach all. It
-	// leaves a second of the three that a change may take.
+	// confirmationTimeout is how old the last confirmation by the store may get before
+	// the first node of each zone reads the store itself. Readers hear from the store
+	// once a second, and their confirmations take up to half a second to reach all nodes.
+	// The timeout leaves one second of the three that a change may take.
 	confirmationTimeout = 1900 * time.Millisecond
-	// takeOverStep is after how much longer each next node of the zone follows, and
-	// inTurn how many do so at this pace. After them it takes twice as long for each:
-	// that so many of a zone are gone at once is unlikely, that the store fails
-	// everybody isn't, and then all of a large fleet would ask it.
+	// takeOverStep is the further delay of each subsequent node of the zone, for the
+	// first linearTakeOvers of them. After these the step doubles with each node: it is
+	// unlikely that so many nodes of a zone are gone at once, but a store that fails does
+	// so for every node, and a whole large fleet would ask it.
 	takeOverStep    = 250 * time.Millisecond
 	linearTakeOvers = 3
-	// discoveryDelay is how long a node that has started and has records waits to hear of others
-	// before it takes itself for a reader. Otherwise each node that starts is the only one
-	// that it knows of, and asks the store once more; of what changed meanwhile it hears
-	// from its peers.
+	// discoveryDelay is how long a starting node that has records waits to discover peers
+	// before it may read the store. Otherwise each starting node would know of no other
+	// and ask the store once more. Its peers tell it what has changed meanwhile.
 	discoveryDelay = 300 * time.Millisecond
 )
 
-// takeOverAfter returns how old the store's last word must be for a node to read the
-// store that has so many of its zone before it.
+// takeOverAfter returns the confirmation age at which a node reads the store that has the
+// given number of nodes of its zone before it.
 func takeOverAfter(before int) time.Duration {
 	after := confirmationTimeout + time.Duration(min(before, linearTakeOvers))*takeOverStep
 	for i := linearTakeOvers; i < before && after < forgetTimeout; i++ {
@@ -35,7 +34,7 @@
 	return after
 }
 
-// ShouldRead reports whether this node is to read the store now.
+// ShouldRead reports whether this node should read the store now.
 func (g *Gossip) ShouldRead(now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -49,33 +48,33 @@
 	return r.reader || g.isBehind(now) || g.unconfirmedFor(now) >= takeOverAfter(r.before)
 }
 
-// unconfirmedFor returns for how long this node could have heard the store's word and
-// didn't.
+// unconfirmedFor returns for how long this node could have received a confirmation and
+// didn't. A pause and the time before it don't count.
 func (g *Gossip) unconfirmedFor(now time.Time) time.Duration {
 	return min(g.sinceConfirmed(now), now.Sub(g.resumedAt))
 }
 
-// Yields reports whether another node of this one's zone comes before it in the
-// order that all agree on. Where all start at once and the store can't answer
-// all, the first of each zone read it, and the others have the records from them.
+// Yields reports whether another live node of this node's zone precedes it. When all
+// nodes start at once and the store can't serve them all, the first node of each zone
+// reads the store, and the others get the records from these.
 func (g *Gossip) Yields(now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.rank(now).before > 0
 }
 
-// rank is a node's place in the order of all nodes that are there, which is by a
-// hash of their names, so that all agree on it.
+// rank is a node's place in the order of all live nodes by the hash of their names, which
+// is the same on every node.
 type rank struct {
-	// reader says that the node is one of the two that always read: the first,
-	// and the first of another zone.
+	// reader is set for the two nodes that always read the store: the first of all, and
+	// the first one in another zone.
 	reader bool
-	// before is how many nodes of its zone come before it.
+	// before is the number of nodes of the same zone that come before it.
 	before int
 }
 
-// rank returns this node's rank. It looks at each node twice and sorts nothing:
-// it is asked for ten times a second.
+// rank returns this node's rank. It is called ten times a second, so it passes over the
+// peers twice instead of sorting them.
 func (g *Gossip) rank(now time.Time) (r rank) {
 	self := &peer{Peer: g.Self, hash: xxhash.Sum64String(g.Self.Name)}
 	first := self
@@ -91,8 +90,8 @@
 		r.reader = true
 		return r
 	}
-	// The other reader is of another zone than the first, or just the next if
-	// there is no other zone.
+	// The other reader is in another zone than the first, or the next node if there is no
+	// other zone.
 	r.reader = true
 	elsewhere := self.AvailabilityZone != first.AvailabilityZone
 	g.eachLive(now, func(p *peer) {
@@ -107,7 +106,7 @@
 	return r
 }
 
-// precedes reports whether p comes before q in the order.
+// precedes reports whether p comes before q in the order of nodes.
 func (p *peer) precedes(q *peer) bool {
 	return p.hash < q.hash || p.hash == q.hash && p.Name < q.Name
 }
--- a/bronzegossip/report.go
+++ b/bronzegossip/report.go
@@ -3,17 +3,18 @@
 import "time"
 
 const (
-	// reportInterval is how often a node passes on reports at most, and largeReportsEvery
-	// the same with more than tellAll others, and reportEach later for each report of the
-	// last time, so that many reports take no more bytes a second than few.
+	// reportInterval is the minimum time between two rounds of reports. With more than
+	// smallFleet known peers it is largeFleetReportInterval, and reportIntervalPerReport
+	// longer for each report in the last round, so that many reports use no more bytes a
+	// second than few.
 	reportInterval           = 20 * time.Millisecond
 	largeFleetReportInterval = 100 * time.Millisecond
 	reportIntervalPerReport  = 5 * time.Millisecond
 )
 
-// SpreadReports passes on what is new in Reports, at once or as soon as it may. Reports of a
-// server that fails reach all nodes within some steps, so that callers of each don't have
-// to find it out.
+// SpreadReports sends the new ones of Reports to a few peers, now or when the next round
+// is due. Reports of a server that fails reach all nodes within a few rounds, so that not
+// every node has to find the failure out at the cost of its own callers.
 func (g *Gossip) SpreadReports(now time.Time) {
 	g.runLocked(now, func() {
 		g.reportsDue = true
@@ -21,7 +22,8 @@
 	})
 }
 
-// sendDueReports tells a few nodes what is due; the caller holds the lock.
+// sendDueReports queues the new reports for a few peers if a round is due. The caller
+// holds the lock.
 func (g *Gossip) sendDueReports(now time.Time) {
 	if !g.reportsDue || now.Before(g.nextReports) {
 		return
@@ -41,8 +43,8 @@
 	}
 }
 
-// reports returns what is to be told of servers. One node in twenty isn't among those
-// that are told at once; it hears with the next message that it asks for.
+// reports returns the reports to send. New ones don't reach one node in twenty right
+// away; it gets them with the reply to its next request.
 func (g *Gossip) reports(all bool, now time.Time) []Report {
 	if g.Reports == nil {
 		return nil
