--- a/bronzegossip/epoch_test.go
+++ b/bronzegossip/epoch_test.go
@@ -9,8 +9,9 @@
 	"bronzeusher.example/bronzeusher/bronzerecord"
 )
 
-// Guards against higher revisions of an earlier epoch winning after a cut between zones.
-func TestNodesOfTwoEpochsAgreeOnTheLater(t *testing.T) {
+// Guards against higher revisions of an earlier epoch winning after a partition between
+// zones.
+func TestConvergeOnLaterEpoch(t *testing.T) {
 	net, nodes := newNetwork(9)
 	s := &store{epoch: 1, revision: 50}
 	s.run(nodes, 3*time.Second)
@@ -32,8 +33,9 @@
 	require.Zero(t, s.behind(nodes))
 }
 
-// Guards against a large fleet that reads all records at once after a drill.
-func TestFewReadTheStoreAfterItCameBackFromACopy(t *testing.T) {
+// Guards against every node of a large fleet reading all records after a restore of the
+// store.
+func TestStoreCallsAfterRestore(t *testing.T) {
 	_, nodes := newNetwork(300)
 	s := &store{epoch: 1, revision: 50}
 	s.run(nodes, 10*time.Second)
@@ -51,8 +53,8 @@
 	require.LessOrEqual(t, calls()-before, 10)
 }
 
-// Guards against nodes that start after a drill and go by the copy alone.
-func TestNodeThatStartsAsksForWhatTheStoreLost(t *testing.T) {
+// Guards against nodes that start after a restore and know only what is in the backup.
+func TestFetchLostHistoryAtStart(t *testing.T) {
 	net, nodes := newNetwork(9)
 	asked := make(map[*node]int)
 	for _, d := range nodes {
--- a/bronzegossip/fleet_test.go
+++ b/bronzegossip/fleet_test.go
@@ -8,11 +8,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// In a large fleet each node hears of each other one only now and then. If it took
-// those for lost that it has not heard of for some seconds, nodes would disagree on
-// who reads the store, and take the servers for less loaded than they are: what some
-// nodes tell of loads stands for as many as are thought to be there.
-func TestNodesOfALargeFleetStayThere(t *testing.T) {
+// In a large fleet a node hears of each peer only now and then. If it considered a peer
+// lost after a few seconds, nodes would disagree on who reads the store, and
+// underestimate the load of servers: the loads that some nodes report are scaled up to
+// the number of live nodes.
+func TestLargeFleetLiveness(t *testing.T) {
 	for _, n := range []int{20, 78} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			_, nodes := newNetwork(n)
@@ -37,10 +37,10 @@
 	}
 }
 
-// Both readers of a large fleet stop. They count as there for longer than in a small
-// one, but the others must not wait for that: each change has to be everywhere within
-// three seconds, the first and those after it.
-func TestReadersOfALargeFleetAreReplacedInTime(t *testing.T) {
+// Both readers of a large fleet stop. Their liveness timeout is longer than in a small
+// fleet, but the others must not wait for it: each change has to reach all nodes within
+// three seconds, the first one as well as later ones.
+func TestLargeFleetReadersReplaced(t *testing.T) {
 	for _, n := range []int{20, 78} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			_, nodes := newNetwork(n)
@@ -58,11 +58,11 @@
 	}
 }
 
-// The store fails all of a large fleet for seven seconds. Nobody can tell that from a
-// fault of the readers alone, so others try; but not all, time and again: the store
-// would be pressed the most when it can bear the least, and each call is paid for.
-// When it is back, a change has to be everywhere in time.
-func TestFewOfALargeFleetPressAStoreThatFails(t *testing.T) {
+// The store fails for all nodes of a large fleet for seven seconds. A node can't tell
+// that from a fault of the readers alone, so others try to read too. Most must not, and
+// none too often: that would add load to a store that can bear it least, and each call is
+// paid for. Once the store is back, a change has to reach all nodes in time.
+func TestLargeFleetStoreOutage(t *testing.T) {
 	const n = 78
 	_, nodes := newNetwork(n)
 	s := &store{revision: 1}
@@ -88,7 +88,7 @@
 	require.Zero(t, s.behind(nodes))
 }
 
-// The delays by which nodes of a zone take over, in the order that all agree on.
+// The delays after which the nodes of a zone take over, in their order.
 func TestTakeOverAfter(t *testing.T) {
 	var delays []time.Duration
 	for before := range 8 {
--- a/bronzegossip/gossip_test.go
+++ b/bronzegossip/gossip_test.go
@@ -12,30 +12,31 @@
 	"bronzeusher.example/bronzeusher/bronzerecord"
 )
 
-// network carries datagrams between nodes in a test, one after the other, in a
-// time of its own, so that each run is like the one before.
+// network delivers datagrams between the nodes of a test one by one, with a clock of its
+// own, so that every run is the same.
 type network struct {
 	now   time.Time
 	queue []func()
 	nodes map[netip.AddrPort]*node
-	// cut reports whether datagrams between two nodes are lost.
+	// cut reports whether datagrams between two nodes are dropped.
 	cut func(from, to *node) bool
-	// sent counts datagrams.
+	// sent is the number of datagrams sent.
 	sent int
 }
 
-// node is a node in a test, with a follower of a store that is a number.
+// node is a node of a test. It reads a store that is just a position.
 type node struct {
 	gossip  Gossip
 	records bronzerecord.Set
 	net     *network
 	stopped bool
-	// storeReachable says whether it storeReachable the store; calls counts its calls.
+	// storeReachable says whether the node reaches the store, storeCalls counts its
+	// calls.
 	storeReachable bool
 	storeCalls     int
 }
 
-// restart starts the node anew, without the store.
+// restart restarts the node, cut off from the store.
 func (d *node) restart() {
 	before := &d.gossip
 	d.records = bronzerecord.Set{}
@@ -45,7 +46,7 @@
 	d.gossip = Gossip{Self: self, Seeds: before.Seeds, Records: &d.records, Random: before.Random, Send: before.Send}
 }
 
-// store is where the store is in a test; each revision has one record.
+// store is the state of the store in a test. Each revision changes one record.
 type store struct{ epoch, revision uint64 }
 
 func (s *store) position() bronzerecord.Position {
@@ -88,7 +89,7 @@
 	})
 }
 
-// deliver carries all that is under way.
+// deliver delivers all queued datagrams and fetches, and those that follow from them.
 func (net *network) deliver() {
 	for len(net.queue) > 0 {
 		next := net.queue[0]
@@ -109,11 +110,11 @@
 	})
 }
 
-// step is how often the nodes of a test do what is due.
+// step is the interval at which the nodes of a test do their periodic work.
 const step = 100 * time.Millisecond
 
-// run lets the nodes do what is due for d. Those that read the store have the
-// answer at once; the store answers a watch without news once a second.
+// run runs the nodes for d. Those that read the store get its answer at once; a watch
+// without changes is answered once a second.
 func (s *store) run(nodes []*node, d time.Duration) {
 	net := nodes[0].net
 	for range int(d / step) {
@@ -147,7 +148,7 @@
 	n.gossip.StoreConfirmed(now)
 }
 
-// behind counts the nodes that don't have what the store has.
+// behind returns the number of nodes that don't have the latest records of the store.
 func (s *store) behind(nodes []*node) (n int) {
 	for _, d := range nodes {
 		if !d.stopped && d.records.Position().Before(s.position()) {
@@ -166,8 +167,8 @@
 	return list
 }
 
-// startLate has the first node start when the others have run for 3 s, and returns it with
-// the answer of the one that it asks.
+// startLate starts the first node 3 s after the others, and returns it after its first
+// request has been answered. before is called just before it starts.
 func startLate(s *store, nodes []*node, before func(started *node)) (started *node) {
 	started = nodes[0]
 	started.stopped = true
@@ -180,10 +181,9 @@
 	return started
 }
 
-// A node starts among others that know everything. Its callers wait until it knows
-// anything: it must have the records with the first answer of a node that it asks, whether
-// the store fails it before that answer or not at all.
-func TestNodeThatStartsHasItsPeersRecordsAtOnce(t *testing.T) {
+// A starting node must have the records after the first reply of a peer whose records are
+// confirmed, whether or not the store has failed it before: its callers wait for them.
+func TestFetchAtStart(t *testing.T) {
 	for _, fails := range []bool{true, false} {
 		_, nodes := newNetwork(9)
 		started := startLate(&store{revision: 5}, nodes, func(started *node) {
@@ -195,10 +195,11 @@
 	}
 }
 
-// All nodes have just started, and the one that is asked has records that the store hasn't
-// confirmed. The store is asked first: hundreds that asked each other for everything would
-// only be slower. If the store fails then, the peer's records are taken at once.
-func TestNodeThatStartsWithAllOthersAsksTheStoreFirst(t *testing.T) {
+// All nodes start at once, and the peer that is asked has records that the store hasn't
+// confirmed. The node reads the store first, since hundreds of nodes that fetch
+// everything from each other would only be slower. If the store fails, it fetches the
+// peer's records at once.
+func TestFetchAtStartUnconfirmedPeer(t *testing.T) {
 	net, nodes := newNetwork(9)
 	started := startLate(&store{revision: 5}, nodes, func(*node) {
 		for _, d := range nodes[1:] {
@@ -211,9 +212,9 @@
 	require.EqualValues(t, 5, started.records.Position().Revision)
 }
 
-// A node has its records and knows of nobody yet. It isn't the only one for that: it asks
-// the store for more only when it had time to hear of others.
-func TestNodeThatStartsWaitsToHearOfOthersBeforeItReads(t *testing.T) {
+// A node that has records but knows no peers yet must not take itself for the only one:
+// it reads the store only after it had time to discover others.
+func TestShouldReadDiscoveryDelay(t *testing.T) {
 	_, nodes := newNetwork(9)
 	s := &store{revision: 5}
 	started := startLate(s, nodes, func(*node) {})
@@ -224,31 +225,31 @@
 
 	alone := newSingleNode(s)
 	s.run([]*node{alone}, discoveryDelay+step)
-	require.True(t, alone.gossip.ShouldRead(alone.net.now), "there is nobody else")
+	require.True(t, alone.gossip.ShouldRead(alone.net.now), "no other node is known")
 }
 
-// newSingleNode returns a node without others.
+// newSingleNode returns a node without peers.
 func newSingleNode(s *store) *node {
 	_, nodes := newNetwork(1)
 	s.run(nodes, step)
 	return nodes[0]
 }
 
-func TestTwoNodesOfTwoZonesReadForAll(t *testing.T) {
+func TestReadersInTwoZones(t *testing.T) {
 	for _, n := range []int{9, 78} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			_, nodes := newNetwork(n)
 			s := &store{revision: 1}
 			s.run(nodes, 8*time.Second)
 			if n == 9 {
-				reading := readers(nodes)
-				require.Len(t, reading, 2)
-				require.NotEqual(t, reading[0].gossip.Self.AvailabilityZone, reading[1].gossip.Self.AvailabilityZone)
+				active := readers(nodes)
+				require.Len(t, active, 2)
+				require.NotEqual(t, active[0].gossip.Self.AvailabilityZone, active[1].gossip.Self.AvailabilityZone)
 			}
 
 			s.revision = 2
 			s.run(nodes, 1200*time.Millisecond)
-			require.Zero(t, s.behind(nodes), "all have the change")
+			require.Zero(t, s.behind(nodes), "nodes without the change")
 			for _, d := range nodes {
 				d.storeCalls = 0
 			}
@@ -257,18 +258,17 @@
 			for _, d := range nodes {
 				calls += d.storeCalls
 			}
-			// With 78 nodes the news that a reader spreads misses one of them
-			// now and then, which then reads once itself.
+			// With 78 nodes a confirmation misses one of them now and then, which then
+			// reads the store once itself.
 			require.LessOrEqual(t, calls, 3*12)
 			t.Logf("%d calls in 10 s", calls)
 		})
 	}
 }
 
-// Both nodes that read the store are cut off from it at the moment of a
-// change. The others must have the change within three seconds, or callers
-// get the old configuration from nodes that are well.
-func TestReadersThatAreCutOffAreReplacedInTime(t *testing.T) {
+// Both readers are cut off from the store when it changes. The others must have the
+// change within three seconds, or their callers are served by the old configuration.
+func TestReadersReplacedWhenCutOff(t *testing.T) {
 	_, nodes := newNetwork(9)
 	s := &store{revision: 1}
 	s.run(nodes, 5*time.Second)
@@ -280,8 +280,8 @@
 	require.Zero(t, s.behind(nodes))
 }
 
-// The same when they lose power.
-func TestReadersThatStopAreReplacedInTime(t *testing.T) {
+// The same when the readers stop.
+func TestReadersReplacedWhenStopped(t *testing.T) {
 	_, nodes := newNetwork(9)
 	s := &store{revision: 1}
 	s.run(nodes, 5*time.Second)
@@ -293,12 +293,11 @@
 	require.Zero(t, s.behind(nodes))
 }
 
-// The same while nodes are started in turn that can't reach the store either, as in
-// a rolling update. A node that has just started has heard nothing of the store; if
-// others took the time since its start for the store's last word, they would never
-// find the readers cut off, and callers would get the old configuration for as long
-// as the update lasts.
-func TestReadersAreReplacedInTimeWhileNodesStart(t *testing.T) {
+// The same during a rolling update of nodes that can't reach the store either. A node
+// that has just started has no confirmation by the store. If others took the time since
+// its start for one, they would never notice that the readers are cut off, and callers
+// would get the old configuration for as long as the update lasts.
+func TestReadersReplacedDuringUpdate(t *testing.T) {
 	_, nodes := newNetwork(9)
 	s := &store{revision: 1}
 	s.run(nodes, 5*time.Second)
@@ -325,33 +324,33 @@
 	require.Zero(t, s.behind(others))
 }
 
-// The VM of a node is suspended for four seconds, and its clock doesn't count them.
-// When it wakes it must not tell others that its records were confirmed a moment
-// ago: they would go on with them for two seconds more where the readers are gone.
-func TestNodeThatWasSuspendedVouchesForNothing(t *testing.T) {
+// The VM of a node is suspended for four seconds, which its clock doesn't count. When it
+// resumes, the node must not report its records as just confirmed: if the readers are
+// gone, others would rely on that for two more seconds.
+func TestSuspended(t *testing.T) {
 	_, nodes := newNetwork(2)
 	s := &store{revision: 1}
 	s.run(nodes, 3*time.Second)
-	woken, other := nodes[0], nodes[1]
+	resumed, other := nodes[0], nodes[1]
 	for _, d := range nodes {
 		d.storeReachable = false
 	}
-	// While the one is suspended, the other's time goes on.
-	woken.stopped = true
+	// The other node keeps running meanwhile.
+	resumed.stopped = true
 	s.run(nodes, 4*time.Second)
 	before := other.gossip.SinceConfirmed(other.net.now)
 	require.Greater(t, before, 3*time.Second)
 
-	woken.stopped = false
-	woken.gossip.confirmedAt = other.net.now.Add(-100 * time.Millisecond)
-	woken.gossip.Suspended(4 * time.Second)
+	resumed.stopped = false
+	resumed.gossip.confirmedAt = other.net.now.Add(-100 * time.Millisecond)
+	resumed.gossip.Suspended(4 * time.Second)
 	s.run(nodes, time.Second)
 	require.Greater(t, other.gossip.SinceConfirmed(other.net.now), before)
 }
 
-// A zone is cut off from the others; all zones reach the store. Each side has
-// a change in time, and after the cut the sides find each other.
-func TestZoneThatIsCutOffReadsForItself(t *testing.T) {
+// A zone is cut off from the others, but all zones reach the store. Each side must get a
+// change in time, and the sides must find each other after the partition.
+func TestZonePartition(t *testing.T) {
 	net, nodes := newNetwork(18)
 	s := &store{revision: 1}
 	s.run(nodes, 5*time.Second)
@@ -370,9 +369,9 @@
 	require.Len(t, readers(nodes), 2)
 }
 
-// A node starts while it is cut off from the store. It gets all records from
-// a peer, and isn't behind for longer than the others.
-func TestNodeThatCannotReachTheStoreLearnsFromPeers(t *testing.T) {
+// A node starts while it can't reach the store. It must get all records from a peer, and
+// later changes as soon as the others.
+func TestStartWithoutStore(t *testing.T) {
 	_, nodes := newNetwork(4)
 	s := &store{revision: 1}
 	late := nodes[3]
@@ -386,7 +385,7 @@
 	require.EqualValues(t, 2, late.records.Position().Revision)
 }
 
-func TestNodeThatLeavesReadsNoMore(t *testing.T) {
+func TestLeave(t *testing.T) {
 	_, nodes := newNetwork(9)
 	s := &store{revision: 1}
 	s.run(nodes, 5*time.Second)
@@ -397,10 +396,10 @@
 	require.Len(t, readers(nodes), 2)
 }
 
-// What a node sends must hardly grow with the fleet: three times the nodes cost
-// each of them a quarter more at most. 20 datagrams a second, a third of them
-// of 600 bytes with loads, are within the budget of 6 KB a second.
-func TestTrafficOfANodeDoesNotGrowWithTheFleet(t *testing.T) {
+// The traffic of a node must hardly grow with the fleet: with three times the nodes, each
+// sends at most a quarter more. 20 datagrams a second, a third of them of 600 bytes with
+// loads, are within the budget of 6 KB a second.
+func TestTrafficPerNode(t *testing.T) {
 	rate := func(n int) (perNode float64) {
 		net, nodes := newNetwork(n)
 		s := &store{revision: 1}
@@ -416,7 +415,7 @@
 	t.Logf("datagrams a second and node: %.1f with 26 nodes, %.1f with 78", small, large)
 }
 
-func TestHandleDropsWhatIsNoMessage(t *testing.T) {
+func TestHandleMalformed(t *testing.T) {
 	var reasons []string
 	g := &Gossip{Self: Peer{Name: "a"}, Records: &bronzerecord.Set{}, Count: func(r string) { reasons = append(reasons, r) }}
 	g.Handle(nil, time.Now())
@@ -437,35 +436,35 @@
 	})
 }
 
-// A node stands still for four seconds, longer than others count as there without a word.
-// When it wakes it must not take itself for the only one: it would read the store, with
-// all others that woke, and they would ask all of it.
-func TestNodeThatStoodStillHasLostNobody(t *testing.T) {
+// A node pauses for four seconds, longer than the liveness timeout of a small fleet. When
+// it resumes it must not take itself for the only one, or it would read the store
+// together with all other nodes that resumed.
+func TestPaused(t *testing.T) {
 	for _, n := range []int{9, 30} {
 		_, nodes := newNetwork(n)
 		s := &store{revision: 1}
 		s.run(nodes, 20*time.Second)
-		var woken *node
+		var resumed *node
 		for _, d := range nodes {
 			if r := d.gossip.rank(d.net.now); !r.reader && r.before > 0 {
-				woken = d
+				resumed = d
 			}
 		}
-		woken.stopped = true
+		resumed.stopped = true
 		s.run(nodes, 4*time.Second)
-		woken.stopped = false
-		woken.gossip.Paused(4*time.Second, 0, woken.net.now)
-		woken.gossip.Tick(woken.net.now)
-		require.Equal(t, n-1, woken.gossip.PeerCount(woken.net.now))
-		calls := woken.storeCalls
+		resumed.stopped = false
+		resumed.gossip.Paused(4*time.Second, 0, resumed.net.now)
+		resumed.gossip.Tick(resumed.net.now)
+		require.Equal(t, n-1, resumed.gossip.PeerCount(resumed.net.now))
+		calls := resumed.storeCalls
 		s.run(nodes, 3*time.Second)
-		require.Equal(t, calls, woken.storeCalls)
-		require.Less(t, woken.gossip.SinceConfirmed(woken.net.now), 2*time.Second)
+		require.Equal(t, calls, resumed.storeCalls)
+		require.Less(t, resumed.gossip.SinceConfirmed(resumed.net.now), 2*time.Second)
 
 		for _, d := range nodes {
-			d.stopped = d != woken
+			d.stopped = d != resumed
 		}
 		s.run(nodes, 20*time.Second)
-		require.Zero(t, woken.gossip.PeerCount(woken.net.now), "those that are gone since are lost as ever")
+		require.Zero(t, resumed.gossip.PeerCount(resumed.net.now), "peers that stop afterwards are still lost")
 	}
 }
--- a/bronzegossip/reader_test.go
+++ b/bronzegossip/reader_test.go
@@ -15,7 +15,7 @@
 	"bronzeusher.example/bronzeusher/bronzerecord"
 )
 
-// naiveRank sorts all nodes and looks for this one.
+// naiveRank sorts all live nodes and looks up the rank of g's own.
 func naiveRank(g *Gossip, now time.Time) (r rank) {
 	order := append(g.livePeers(now), g.Self)
 	slices.SortFunc(order, func(a, b Peer) int {
@@ -43,8 +43,8 @@
 	return r
 }
 
-// newGossipWithPeers returns a node with some others that it has heard of, some of them
-// long ago or leaving.
+// newGossipWithPeers returns a node that has heard of n peers, some of them long ago or
+// leaving.
 func newGossipWithPeers(n, zones int, now time.Time, age func() time.Duration, leaving func() bool) *Gossip {
 	address := netip.MustParseAddrPort("10.0.0.1:7000")
 	g := &Gossip{Self: Peer{Name: "self", Address: address, AvailabilityZone: "0"}, Records: &bronzerecord.Set{}}
@@ -69,9 +69,9 @@
 	})
 }
 
-// BenchmarkReads measures how long a node takes to tell whether it reads the
-// store, which it asks itself ten times a second.
-func BenchmarkReads(b *testing.B) {
+// BenchmarkShouldRead measures how long a node takes to decide whether it reads the
+// store, which it does ten times a second.
+func BenchmarkShouldRead(b *testing.B) {
 	now := time.Now()
 	g := newGossipWithPeers(489, 6, now, func() time.Duration { return 0 }, func() bool { return false })
 	g.Records.Apply(bronzerecord.Delta{Whole: true, To: 1})
@@ -81,11 +81,11 @@
 	}
 }
 
-// While servers are replaced the store changes ten times a second, and a node has each
-// change from a peer a moment after it heard of it. There is always one that it doesn't
-// have yet. It doesn't read the store for that, as each other node would; one that no peer
-// gives a change to does.
-func TestNodeThatKeepsUpWithManyChangesDoesNotRead(t *testing.T) {
+// While servers are replaced the store changes ten times a second. A node fetches each
+// change from a peer a moment after it hears of it, so there is always one that it
+// doesn't have yet. It must not read the store for that, as every other node would, but
+// it must if no peer provides a change.
+func TestIsBehindFrequentChanges(t *testing.T) {
 	var records bronzerecord.Set
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	g := Gossip{Self: Peer{Name: "z"}, Records: &records}
--- a/bronzegossip/report_test.go
+++ b/bronzegossip/report_test.go
@@ -12,22 +12,22 @@
 	"bronzeusher.example/bronzeusher/bronzerecord"
 )
 
-// reportsByServer is what a node in a test has heard of servers: the reports, by server.
+// reportsByServer holds the reports that a node of a test has received, by server.
 type reportsByServer map[uint32]Report
 
-// collectReports lets the nodes keep and pass on what they collectReports.
-func collectReports(nodes []*node) (heard []reportsByServer) {
+// collectReports lets the nodes keep and forward the reports that they receive.
+func collectReports(nodes []*node) (received []reportsByServer) {
 	for _, d := range nodes {
 		h := reportsByServer{}
-		heard = append(heard, h)
-		told := reportsByServer{}
+		received = append(received, h)
+		sent := reportsByServer{}
 		d.gossip.Reports = func(all bool, _ time.Time) (list []Report) {
 			for _, r := range h {
-				if _, known := told[r.Server]; all || !known {
+				if _, known := sent[r.Server]; all || !known {
 					list = append(list, r)
 				}
 				if !all {
-					told[r.Server] = r
+					sent[r.Server] = r
 				}
 			}
 			return list
@@ -41,73 +41,73 @@
 			}
 		}
 	}
-	return heard
+	return received
 }
 
-// A server crashes, and one node of many finds out. Each other one would send callers
-// there until it has found out itself. All know within two gossip rounds, and what that
-// takes doesn't grow with the number of nodes: each of them tells a few, a few times.
-func TestReportsReachAllNodes(t *testing.T) {
+// A server crashes, and one node of many notices. Until the others know, each sends its
+// callers there until it has noticed too. All must know within two gossip rounds, and the
+// messages that takes for each node must not grow with the fleet.
+func TestSpreadReports(t *testing.T) {
 	for _, size := range []int{6, 78} {
 		net, nodes := newNetwork(size)
 		s := &store{revision: 5}
 		s.run(nodes, 15*time.Second)
-		heard := collectReports(nodes)
+		received := collectReports(nodes)
 		sent := net.sent
 		s.run(nodes, 2*time.Second)
 		usual := net.sent - sent
 
-		heard[0][42] = Report{Server: 42, Node: 1}
+		received[0][42] = Report{Server: 42, Node: 1}
 		nodes[0].gossip.SpreadReports(net.now)
 		net.deliver()
 		sent = net.sent
 		s.run(nodes, 2*largeFleetInterval)
-		for i := range heard {
-			require.Contains(t, heard[i], uint32(42), "node %d of %d", i, size)
+		for i := range received {
+			require.Contains(t, received[i], uint32(42), "node %d of %d", i, size)
 		}
 		require.LessOrEqual(t, net.sent-sent, usual+2*fanout*size, "%d nodes", size)
 	}
 }
 
-// Thirty-two servers fail at once, and then ten a second. A node tells of them a few times
-// a second, the less often the more there is to tell, and spends at most the 6 KB a second
-// that it may.
-func TestReportsArePassedOnAFewTimesASecond(t *testing.T) {
+// Thirty-two servers fail at once, and then ten a second. A node forwards reports a few
+// times a second, less often the more reports there are, and must stay within its budget
+// of 6 KB a second.
+func TestSpreadReportsRate(t *testing.T) {
 	net, nodes := newNetwork(78)
 	s := &store{revision: 5}
 	s.run(nodes, 15*time.Second)
-	heard := collectReports(nodes)
-	passed, bytes := 0, 0
+	received := collectReports(nodes)
+	messages, bytes := 0, 0
 	g := &nodes[5].gossip
 	send := g.Send
 	g.Send = func(to netip.AddrPort, b []byte) {
 		if m, err := decode(b); err == nil && len(m.Reports) > 0 && len(m.Peers) == 0 {
-			passed++
+			messages++
 			bytes += len(b)
 		}
 		send(to, b)
 	}
 	const atOnce, after = 32, 20
 	for i := range uint32(atOnce) {
-		heard[i][1000+i] = Report{Server: 1000 + i, Node: math.MaxUint32, FirstMS: 999, LastMS: 999}
+		received[i][1000+i] = Report{Server: 1000 + i, Node: math.MaxUint32, FirstMS: 999, LastMS: 999}
 		nodes[i].gossip.SpreadReports(net.now)
 	}
 	for i := range uint32(after) {
-		heard[i][i] = Report{Server: i, Node: math.MaxUint32, FirstMS: 999, LastMS: 999}
+		received[i][i] = Report{Server: i, Node: math.MaxUint32, FirstMS: 999, LastMS: 999}
 		nodes[i].gossip.SpreadReports(net.now)
 		net.deliver()
 		s.run(nodes, step)
 	}
-	require.LessOrEqual(t, passed, fanout*(int(2*time.Second/largeFleetReportInterval)+1))
+	require.LessOrEqual(t, messages, fanout*(int(2*time.Second/largeFleetReportInterval)+1))
 	require.LessOrEqual(t, bytes, 2*6000)
 	s.run(nodes, 2*time.Second)
-	for i := range heard {
-		require.Len(t, heard[i], atOnce+after)
+	for i := range received {
+		require.Len(t, received[i], atOnce+after)
 	}
 }
 
-// Reports of a whole zone that fails must fit into one packet.
-func TestReportsFitIntoOnePacket(t *testing.T) {
+// Reports on all servers of a zone that fails must fit into one packet.
+func TestReportMessageSize(t *testing.T) {
 	var sent [][]byte
 	now := time.Now()
 	g := &Gossip{
--- a/bronzegossip/size_test.go
+++ b/bronzegossip/size_test.go
@@ -11,9 +11,8 @@
 	"bronzeusher.example/bronzeusher/bronzerecord"
 )
 
-// A message with all that it may carry must fit into one packet, or it loses
-// its loads.
-func TestFullMessageFitsIntoOnePacket(t *testing.T) {
+// A full message with many loads must fit into one packet, or it is sent without them.
+func TestFullMessageSize(t *testing.T) {
 	loads, latencies := make([]Load, 45), make([]uint32, 45)
 	for i := range loads {
 		loads[i], latencies[i] = Load{Server: 1<<32 - 1 - uint32(i), Rate: 1000}, 1000
