--- a/bronzerecord/follower.go
+++ b/bronzerecord/follower.go
@@ -74,8 +74,8 @@
 	// changes gather for the next: a rolling replacement changes the store
 	// several times a second, and each answer is a call that is paid for.
 	DefaultBatchDelay = 700 * time.Millisecond
-	// emptyInterval is how often an empty store is read.
-	emptyInterval = 100 * time.Millisecond
+	// emptyStoreInterval is how often an empty store is read.
+	emptyStoreInterval = 100 * time.Millisecond
 	// standbyInterval is how often a follower that isn't active looks whether
 	// it has become so.
 	standbyInterval = 100 * time.Millisecond
@@ -126,7 +126,7 @@
 		return 0
 	}
 	if errors.Is(err, ErrCompacted) {
-		f.reload = f.lacksNewsSince(known)
+		f.reload = f.unchangedSince(known)
 		f.event(Event{Kind: Compacted, Took: took, Err: err})
 		return 0
 	}
@@ -135,7 +135,7 @@
 	}
 	if errors.Is(err, errRestored) || err == nil && !whole && known.Epoch < d.Epoch {
 		// Events of another history than that of the known revision lead nowhere.
-		f.reload = f.lacksNewsSince(known)
+		f.reload = f.unchangedSince(known)
 		f.event(Event{Kind: Restored, Delta: d, Took: took})
 		return 0
 	}
@@ -143,12 +143,12 @@
 		f.event(Event{Kind: Failed, Took: took, Err: err})
 		return f.pause(&f.backoff, err)
 	}
-	return f.take(d, whole, stale, took)
+	return f.apply(d, whole, stale, took)
 }
 
-// lacksNewsSince reports whether no peer has brought the Set further than a position. One that
+// unchangedSince reports whether no peer has brought the Set further than a position. One that
 // has may have brought the records that a load would, so that a watch is tried first.
-func (f *Follower) lacksNewsSince(known Position) bool { return f.Set.Position() == known }
+func (f *Follower) unchangedSince(known Position) bool { return f.Set.Position() == known }
 
 func (f *Follower) call(ctx context.Context, whole, stale bool, revision uint64) (d Delta, err error) {
 	if whole {
@@ -157,13 +157,13 @@
 	return f.Source.Watch(ctx, revision)
 }
 
-// take applies an answer.
-func (f *Follower) take(d Delta, whole, stale bool, took time.Duration) time.Duration {
+// apply applies an answer.
+func (f *Follower) apply(d Delta, whole, stale bool, took time.Duration) time.Duration {
 	kind := Watched
 	if whole {
 		kind = Loaded
 	}
-	if d.end().Before(f.Set.Position()) {
+	if d.position().Before(f.Set.Position()) {
 		// What it shows was in force before, or records came from a peer meanwhile: a
 		// watch tells which.
 		f.reload = false
@@ -181,7 +181,7 @@
 	f.event(Event{Kind: kind, Delta: d, Applied: applied, Stale: stale, Took: took})
 	if f.Set.Position().IsZero() {
 		// An empty store has nothing to watch from.
-		return emptyInterval
+		return emptyStoreInterval
 	}
 	if whole || len(d.Changed)+len(d.Removed) == 0 {
 		return 0
--- a/bronzerecord/follower_test.go
+++ b/bronzerecord/follower_test.go
@@ -20,27 +20,27 @@
 
 // fakeStore is a store whose watches can go deaf. Tests change it by do.
 type fakeStore struct {
-	mu        sync.Mutex
-	h         *history
-	compacted uint64
-	deaf      bool
-	down      bool
-	// throttles says whether a read is refused, pageSize bounds pages if it
+	mu               sync.Mutex
+	h                *history
+	compacted        uint64
+	eventsSuppressed bool
+	down             bool
+	// throttled says whether a read is refused, pageSize bounds pages if it
 	// isn't 0.
-	throttles func() bool
+	throttled func() bool
 	pageSize  int
 	latency   time.Duration
-	// behind is how many changes a replica lags that answers a stale read, none if nil.
-	behind  func() uint64
-	loads   int
-	stale   int
-	watches int
+	// replicaLag is how many changes a replica lags that answers a stale read, none if nil.
+	replicaLag func() uint64
+	loads      int
+	stale      int
+	watches    int
 }
 
 func (f *fakeStore) source() Source { return Source{Read: f.read, Watch: f.watch} }
 
-// do runs step while no call is being answered.
-func (f *fakeStore) do(step func()) {
+// locked runs step while no call is being answered.
+func (f *fakeStore) locked(step func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	step()
@@ -54,17 +54,17 @@
 	switch {
 	case f.down:
 		return p, ErrUnavailable
-	case f.throttles != nil && f.throttles():
+	case f.throttled != nil && f.throttled():
 		return p, ErrThrottled
 	}
 	p.Epoch, p.Revision = f.h.epoch, f.h.revision
 	if stale {
 		f.stale++
-		if f.behind != nil {
-			p.Revision -= min(f.behind(), p.Revision)
+		if f.replicaLag != nil {
+			p.Revision -= min(f.replicaLag(), p.Revision)
 		}
 	}
-	for _, r := range f.h.whole(p.Revision).Changed {
+	for _, r := range f.h.snapshot(p.Revision).Changed {
 		if r.Name > after {
 			p.Records = append(p.Records, r)
 		}
@@ -77,9 +77,9 @@
 }
 
 func (f *fakeStore) watch(ctx context.Context, after uint64) (d Delta, err error) {
-	f.do(func() { f.watches++ })
+	f.locked(func() { f.watches++ })
 	for range 10 {
-		d, err = f.look(after)
+		d, err = f.poll(after)
 		if err != nil || len(d.Changed) > 0 {
 			return d, err
 		}
@@ -88,16 +88,16 @@
 	return d, nil
 }
 
-// look returns what a watch hears now.
-func (f *fakeStore) look(after uint64) (Delta, error) {
+// poll returns what a watch hears now.
+func (f *fakeStore) poll(after uint64) (Delta, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
 	case f.down:
 		return Delta{}, ErrUnavailable
-	case (after < f.compacted || after > f.h.revision) && !f.deaf:
+	case (after < f.compacted || after > f.h.revision) && !f.eventsSuppressed:
 		return Delta{}, ErrCompacted
-	case !f.deaf && f.h.revision > after:
+	case !f.eventsSuppressed && f.h.revision > after:
 		return f.h.delta(after, f.h.revision), nil
 	default:
 		return Delta{Epoch: f.h.epoch, From: after, To: f.h.revision}, nil
@@ -118,14 +118,14 @@
 		time.Sleep(50 * time.Millisecond)
 		require.EqualValues(t, 1, s.Position().Revision)
 
-		f.do(func() {
-			f.deaf = true
+		f.locked(func() {
+			f.eventsSuppressed = true
 			f.h.change("a", false)
 		})
 		time.Sleep(1500 * time.Millisecond)
-		f.do(func() {
+		f.locked(func() {
 			f.compacted = f.h.revision
-			f.deaf = false
+			f.eventsSuppressed = false
 		})
 		time.Sleep(1500 * time.Millisecond)
 		require.EqualValues(t, 2, s.Position().Revision)
@@ -147,11 +147,11 @@
 		go func() { _ = follower.Run(ctx) }()
 		for range 70 {
 			time.Sleep(100 * time.Millisecond)
-			f.do(func() { f.h.change("a", false) })
+			f.locked(func() { f.h.change("a", false) })
 		}
 		time.Sleep(2 * time.Second)
 		require.EqualValues(t, f.h.revision, s.Position().Revision)
-		f.do(func() { require.LessOrEqual(t, f.watches, 13) })
+		f.locked(func() { require.LessOrEqual(t, f.watches, 13) })
 		cancel()
 		synctest.Wait()
 	})
@@ -178,11 +178,11 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() { _ = follower.Run(ctx) }()
 		time.Sleep(50 * time.Millisecond)
-		f.do(func() { f.down = true })
+		f.locked(func() { f.down = true })
 		time.Sleep(30 * time.Second)
 		require.Less(t, failed.Load(), int64(90))
 		before := answeredAt.Load()
-		f.do(func() {
+		f.locked(func() {
 			f.h.change("a", false)
 			f.down = false
 		})
@@ -203,14 +203,14 @@
 		stop := follow(t, &Follower{Source: f.source(), Set: &s})
 		time.Sleep(3 * time.Second)
 		var before int
-		f.do(func() {
+		f.locked(func() {
 			f.h = f.h.restored(10)
 			f.h.epoch = 0
 			before = f.loads + f.watches
 		})
 		time.Sleep(10 * time.Second)
 		require.EqualValues(t, 30, s.Position().Revision)
-		f.do(func() {
+		f.locked(func() {
 			require.LessOrEqual(t, f.loads+f.watches-before, int(2*10*time.Second/(maxBackoff/2)))
 			f.h = newPagedStore(40).h
 		})
@@ -228,11 +228,11 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() { _ = follower.Run(ctx) }()
 		time.Sleep(10 * time.Second)
-		f.do(func() { require.Zero(t, f.loads+f.watches) })
+		f.locked(func() { require.Zero(t, f.loads+f.watches) })
 		active.Store(true)
 		time.Sleep(standbyInterval)
 		synctest.Wait()
-		f.do(func() { require.Positive(t, f.loads) })
+		f.locked(func() { require.Positive(t, f.loads) })
 		cancel()
 		synctest.Wait()
 	})
@@ -248,7 +248,7 @@
 			stop := follow(t, &Follower{Source: f.source(), Set: &s, BatchDelay: time.Millisecond})
 			for range rapid.IntRange(1, 40).Draw(r, "Steps") {
 				time.Sleep(time.Duration(rapid.IntRange(0, 40).Draw(r, "Milliseconds")) * time.Millisecond)
-				f.do(func() {
+				f.locked(func() {
 					switch rapid.IntRange(0, 4).Draw(r, "Step") {
 					case 0:
 						f.h = f.h.restored(rapid.Uint64Range(0, f.h.revision).Draw(r, "Copy"))
@@ -262,7 +262,7 @@
 				})
 			}
 			time.Sleep(5 * time.Second)
-			f.do(func() {
+			f.locked(func() {
 				require.Equal(r, Position{Epoch: f.h.epoch, Revision: f.h.revision}, s.Position())
 				require.Equal(r, f.h.states[f.h.revision], contents(&s))
 			})
--- a/bronzerecord/load.go
+++ b/bronzerecord/load.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// pageTries is how often in a row a page is asked for in vain before the load
+	// maxPageRetries is how often in a row a page is asked for in vain before the load
 	// begins anew: about as long as the longest outage that nodes see at their
 	// start, 10 s, takes.
-	pageTries = 20
-	// yieldFor is how long a node that lets others read first waits, on average,
+	maxPageRetries = 20
+	// meanYieldDelay is how long a node that lets others read first waits, on average,
 	// after the store said that it is asked too much. Meanwhile the first of each
 	// zone read all pages, and the others have the records from them.
-	yieldFor = 2 * time.Second
+	meanYieldDelay = 2 * time.Second
 )
 
 // errOvertaken says that the records came from elsewhere while they were loaded.
@@ -63,7 +63,7 @@
 		}
 		if err != nil {
 			fails++
-			if after == "" || fails > pageTries || ctx.Err() != nil {
+			if after == "" || fails > maxPageRetries || ctx.Err() != nil {
 				return d, err
 			}
 			f.event(Event{Kind: Failed, Err: err})
@@ -91,7 +91,7 @@
 	backoff.Min, backoff.Max = minBackoff, maxBackoff
 	pause := backoff.Next()
 	if errors.Is(err, ErrThrottled) && f.Yield != nil && f.Yield() {
-		return yieldFor/2 + rand.N(yieldFor)
+		return meanYieldDelay/2 + rand.N(meanYieldDelay)
 	}
 	return pause
 }
--- a/bronzerecord/load_test.go
+++ b/bronzerecord/load_test.go
@@ -36,13 +36,13 @@
 func TestRefusedPagesAreAskedForAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newPagedStore(200)
-		f.throttles = func() bool { return f.loads%2 == 0 }
+		f.throttled = func() bool { return f.loads%2 == 0 }
 		var s Set
 		stop := follow(t, &Follower{Source: f.source(), Set: &s})
 		time.Sleep(20 * maxBackoff)
 		require.EqualValues(t, 200, s.Position().Revision)
 		require.Len(t, contents(&s), 200)
-		f.do(func() { require.LessOrEqual(t, f.loads, 40) })
+		f.locked(func() { require.LessOrEqual(t, f.loads, 40) })
 		stop()
 	})
 }
@@ -52,18 +52,18 @@
 func TestRecordsOfAPeerEndALoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newPagedStore(200)
-		f.throttles = func() bool { return f.loads > 5 }
+		f.throttled = func() bool { return f.loads > 5 }
 		var s Set
 		stop := follow(t, &Follower{Source: f.source(), Set: &s})
 		time.Sleep(3 * time.Second)
 		require.Zero(t, s.Position().Revision)
 		var before int
-		f.do(func() {
+		f.locked(func() {
 			before = f.loads
-			require.True(t, s.Apply(f.h.whole(200)))
+			require.True(t, s.Apply(f.h.snapshot(200)))
 		})
 		time.Sleep(10 * time.Second)
-		f.do(func() {
+		f.locked(func() {
 			require.LessOrEqual(t, f.loads, before+1)
 			require.Positive(t, f.watches)
 		})
@@ -80,7 +80,7 @@
 		f := newPagedStore(600)
 		f.latency = 4 * time.Millisecond
 		second, answered := time.Now(), 0
-		f.throttles = func() bool {
+		f.throttled = func() bool {
 			if time.Since(second) >= time.Second {
 				second, answered = time.Now(), 0
 			}
@@ -113,7 +113,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newPagedStore(60)
 			f.latency = 4 * time.Millisecond
-			f.behind = func() uint64 { return rapid.Uint64Range(0, 80).Draw(r, "Behind") }
+			f.replicaLag = func() uint64 { return rapid.Uint64Range(0, 80).Draw(r, "Behind") }
 			changes := rapid.IntRange(0, 30).Draw(r, "Changes")
 			var s Set
 			stop := follow(t, &Follower{Source: f.source(), Set: &s, OnEvent: func(e Event) {
@@ -121,12 +121,12 @@
 			}})
 			for range changes {
 				time.Sleep(2 * time.Millisecond)
-				f.do(func() {
+				f.locked(func() {
 					f.h.change(fmt.Sprintf("r-%04d", rapid.IntRange(0, 70).Draw(r, "Record")), rapid.Bool().Draw(r, "Remove"))
 				})
 			}
 			time.Sleep(5 * time.Second)
-			f.do(func() {
+			f.locked(func() {
 				require.Equal(r, f.h.revision, s.Position().Revision)
 				require.Equal(r, f.h.states[f.h.revision], contents(&s))
 			})
@@ -141,13 +141,13 @@
 func TestLoadAfterALostHistoryIsNotStale(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newPagedStore(25)
-		f.behind = func() uint64 { return 5 }
+		f.replicaLag = func() uint64 { return 5 }
 		f.compacted = 24
 		var s Set
 		stop := follow(t, &Follower{Source: f.source(), Set: &s})
 		time.Sleep(time.Second)
 		require.EqualValues(t, 25, s.Position().Revision)
-		f.do(func() {
+		f.locked(func() {
 			require.Equal(t, 2, f.stale)
 			require.Equal(t, 5, f.loads)
 		})
@@ -172,13 +172,13 @@
 		var s Set
 		stop := follow(t, &Follower{Source: Source{Read: read, Watch: f.watch}, Set: &s})
 		time.Sleep(time.Second)
-		f.do(func() {
+		f.locked(func() {
 			for range 9 {
 				f.h.change("r-0002", false)
 			}
 		})
 		time.Sleep(3 * time.Second)
-		f.do(func() {
+		f.locked(func() {
 			require.Equal(t, f.h.states[f.h.revision], contents(&s))
 			require.LessOrEqual(t, before.loads, 1)
 		})
--- a/bronzerecord/lost.go
+++ b/bronzerecord/lost.go
@@ -27,7 +27,7 @@
 	// Absent says that the present epoch has no record of the name.
 	Absent bool
 
-	at time.Time
+	lostAt time.Time
 }
 
 // position returns how late in the store's history the record is known.
@@ -45,25 +45,25 @@
 	Lost   []LostRecord
 }
 
-// memory is what a Set remembers of earlier epochs.
-type memory struct {
+// lostRecords is what a Set remembers of earlier epochs.
+type lostRecords struct {
 	former Position
-	// lost are the states of each record, the earliest first. Which of two epochs' is
+	// byName are the states of each record, the earliest first. Which of two epochs' is
 	// the last word the revisions don't tell: the first contents of an epoch may have
 	// what was written again already.
-	lost map[string][]LostRecord
+	byName map[string][]LostRecord
 }
 
-// maxStates is how many states of a record are kept.
-const maxStates = 8
+// maxLostStates is how many states of a record are kept.
+const maxLostStates = 8
 
 // FormerPosition returns up to where this copy knows earlier epochs of the store, and how
 // many records it remembers from them.
 func (s *Set) FormerPosition() (former Position, lost int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire(time.Now())
-	return s.memory.former, len(s.memory.lost)
+	s.expireLost(time.Now())
+	return s.lost.former, len(s.lost.byName)
 }
 
 // LostHistory returns what this copy remembers of earlier epochs; ok is false if it is
@@ -71,22 +71,22 @@
 func (s *Set) LostHistory() (r LostHistory, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.recollection(time.Now())
+	return s.lostHistory(time.Now())
 }
 
-func (s *Set) recollection(now time.Time) (r LostHistory, ok bool) {
-	s.expire(now)
-	if len(s.memory.lost) == 0 {
+func (s *Set) lostHistory(now time.Time) (r LostHistory, ok bool) {
+	s.expireLost(now)
+	if len(s.lost.byName) == 0 {
 		return r, false
 	}
-	return LostHistory{Epoch: s.position.Epoch, Former: s.memory.former, Lost: s.remembered(now)}, true
+	return LostHistory{Epoch: s.position.Epoch, Former: s.lost.former, Lost: s.listLost(now)}, true
 }
 
-// remembered returns the lost records by name.
-func (s *Set) remembered(now time.Time) (lost []LostRecord) {
-	for _, name := range slices.Sorted(maps.Keys(s.memory.lost)) {
-		for _, l := range s.memory.lost[name] {
-			l.Age, l.Absent = now.Sub(l.at), s.lacks(&l)
+// listLost returns the lost records by name.
+func (s *Set) listLost(now time.Time) (lost []LostRecord) {
+	for _, name := range slices.Sorted(maps.Keys(s.lost.byName)) {
+		for _, l := range s.lost.byName[name] {
+			l.Age, l.Absent = now.Sub(l.lostAt), s.isAbsent(&l)
 			lost = append(lost, l)
 		}
 	}
@@ -98,7 +98,7 @@
 	s.apply.Lock()
 	defer s.apply.Unlock()
 	s.mu.Lock()
-	c := Change{Position: s.position, Lost: s.recall(&r, time.Now())}
+	c := Change{Position: s.position, Lost: s.mergeLost(&r, time.Now())}
 	s.mu.Unlock()
 	if len(c.Lost) > 0 && s.OnChange != nil {
 		s.OnChange(c)
@@ -106,107 +106,107 @@
 	return len(c.Lost) > 0
 }
 
-// recall returns what is new in r.
-func (s *Set) recall(r *LostHistory, now time.Time) (lost []LostRecord) {
+// mergeLost returns what is new in r.
+func (s *Set) mergeLost(r *LostHistory, now time.Time) (lost []LostRecord) {
 	if r.Epoch != s.position.Epoch {
 		return nil
 	}
-	if s.memory.former.Before(r.Former) {
-		s.memory.former = r.Former
+	if s.lost.former.Before(r.Former) {
+		s.lost.former = r.Former
 	}
 	for _, l := range r.Lost {
 		l.Age = max(l.Age, 0)
-		l.at = now.Add(-l.Age)
-		if l.Age >= LostRetention || s.writtenAgain(&l) || !s.remember(l) {
+		l.lostAt = now.Add(-l.Age)
+		if l.Age >= LostRetention || s.isRewritten(&l) || !s.addLost(l) {
 			continue
 		}
-		l.Absent = s.lacks(&l)
+		l.Absent = s.isAbsent(&l)
 		lost = append(lost, l)
 	}
 	return lost
 }
 
-// lacks reports whether this copy has no record of the name.
-func (s *Set) lacks(l *LostRecord) bool {
+// isAbsent reports whether this copy has no record of the name.
+func (s *Set) isAbsent(l *LostRecord) bool {
 	_, ok := s.records[l.Record.Name]
 	return !ok
 }
 
-// writtenAgain reports whether the present epoch has a later word on a lost record.
-func (s *Set) writtenAgain(l *LostRecord) bool {
+// isRewritten reports whether the present epoch has a later word on a lost record.
+func (s *Set) isRewritten(l *LostRecord) bool {
 	if r, ok := s.records[l.Record.Name]; ok && r.Revision > l.Since {
 		return true
 	}
-	return slices.ContainsFunc(s.removed, func(r removal) bool {
+	return slices.ContainsFunc(s.tombstones, func(r tombstone) bool {
 		return r.epoch == s.position.Epoch && r.Name == l.Record.Name && r.Revision > l.Since
 	})
 }
 
-// remember keeps a lost state of a record; added is false if it is kept already.
-func (s *Set) remember(l LostRecord) (added bool) {
-	states := s.memory.lost[l.Record.Name]
+// addLost keeps a lost state of a record; added is false if it is kept already.
+func (s *Set) addLost(l LostRecord) (added bool) {
+	states := s.lost.byName[l.Record.Name]
 	i, found := slices.BinarySearchFunc(states, l.position(), func(l LostRecord, p Position) int { return l.position().compare(p) })
 	if found {
 		return false
 	}
-	if s.memory.lost == nil {
-		s.memory.lost = make(map[string][]LostRecord)
+	if s.lost.byName == nil {
+		s.lost.byName = make(map[string][]LostRecord)
 	}
 	states = slices.Insert(states, i, l)
-	s.memory.lost[l.Record.Name] = states[max(0, len(states)-maxStates):]
+	s.lost.byName[l.Record.Name] = states[max(0, len(states)-maxLostStates):]
 	return true
 }
 
-// forget drops the lost states of a record on which there is a later word, of the given
+// dropRewritten drops the lost states of a record on which there is a later word, of the given
 // revision.
-func (s *Set) forget(name string, revision uint64) (forgotten bool) {
-	states := s.memory.lost[name]
+func (s *Set) dropRewritten(name string, revision uint64) (dropped bool) {
+	states := s.lost.byName[name]
 	kept := slices.DeleteFunc(states, func(l LostRecord) bool { return revision > l.Since })
-	s.keep(name, kept)
+	s.setLost(name, kept)
 	return len(kept) < len(states)
 }
 
-// expire drops what nobody has written again.
-func (s *Set) expire(now time.Time) {
-	for name, states := range s.memory.lost {
-		s.keep(name, slices.DeleteFunc(states, func(l LostRecord) bool { return now.Sub(l.at) >= LostRetention }))
+// expireLost drops what nobody has written again.
+func (s *Set) expireLost(now time.Time) {
+	for name, states := range s.lost.byName {
+		s.setLost(name, slices.DeleteFunc(states, func(l LostRecord) bool { return now.Sub(l.lostAt) >= LostRetention }))
 	}
 }
 
-// keep replaces the lost states of a record.
-func (s *Set) keep(name string, states []LostRecord) {
+// setLost replaces the lost states of a record.
+func (s *Set) setLost(name string, states []LostRecord) {
 	if len(states) == 0 {
-		delete(s.memory.lost, name)
+		delete(s.lost.byName, name)
 		return
 	}
-	s.memory.lost[name] = states
+	s.lost.byName[name] = states
 }
 
-// lose remembers what the whole contents d of a later epoch lack of what is known.
-func (s *Set) lose(d *Delta, now time.Time) {
-	s.expire(now)
-	for _, states := range s.memory.lost {
+// recordLost remembers what the whole contents d of a later epoch lack of what is known.
+func (s *Set) recordLost(d *Delta, now time.Time) {
+	s.expireLost(now)
+	for _, states := range s.lost.byName {
 		for i := range states {
-			states[i].Since, states[i].at = d.To, now
+			states[i].Since, states[i].lostAt = d.To, now
 		}
 	}
 	present := make(map[string]*Record, len(d.Changed))
 	for i := range d.Changed {
 		present[d.Changed[i].Name] = &d.Changed[i]
 	}
-	lost := LostRecord{Epoch: s.position.Epoch, Since: d.To, at: now}
+	lost := LostRecord{Epoch: s.position.Epoch, Since: d.To, lostAt: now}
 	for name, r := range s.records {
-		if found := present[name]; found == nil || !found.same(&r) {
+		if found := present[name]; found == nil || !found.equal(&r) {
 			lost.Record = r
-			s.remember(lost)
+			s.addLost(lost)
 		}
 	}
 	lost.Removed = true
-	for _, r := range s.removed {
+	for _, r := range s.tombstones {
 		if _, known := s.records[r.Name]; !known && present[r.Name] != nil {
 			lost.Epoch, lost.Record = r.epoch, Record{Name: r.Name, Revision: r.Revision}
-			s.remember(lost)
+			s.addLost(lost)
 		}
 	}
-	s.memory.former = s.position
+	s.lost.former = s.position
 }
--- a/bronzerecord/lost_test.go
+++ b/bronzerecord/lost_test.go
@@ -16,8 +16,8 @@
 	return list
 }
 
-// fallBack returns a set that knew records which its store lost, and the changes that it told.
-func fallBack(t *testing.T) (s *Set, changes *[]Change) {
+// newRestoredSet returns a set that knew records which its store lost, and the changes that it told.
+func newRestoredSet(t *testing.T) (s *Set, changes *[]Change) {
 	s, changes = &Set{}, &[]Change{}
 	s.OnChange = func(c Change) { *changes = append(*changes, c) }
 	h := newHistory()
@@ -27,16 +27,16 @@
 	h.change("written", false)
 	h.change("drained", false)
 	h.change("removed", true)
-	require.True(t, s.Apply(h.whole(h.revision-1)))
+	require.True(t, s.Apply(h.snapshot(h.revision-1)))
 	require.True(t, s.Apply(h.delta(h.revision-1, h.revision)))
-	require.True(t, s.Apply(h.restored(copied).whole(copied)))
+	require.True(t, s.Apply(h.restored(copied).snapshot(copied)))
 	return s, changes
 }
 
 // Guards against forgetting what the store lost too soon, and against keeping it for ever.
 func TestLostRecordsAreRememberedUntilTheyAreWrittenAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, changes := fallBack(t)
+		s, changes := newRestoredSet(t)
 		lost := (*changes)[len(*changes)-1].Lost
 		require.Equal(t, []string{"drained", "removed", "written"}, names(lost))
 		require.Equal(t, []bool{false, true, false}, []bool{lost[0].Removed, lost[1].Removed, lost[2].Removed})
@@ -62,7 +62,7 @@
 // Guards against a peer that tells too little, or brings back what has been written again.
 func TestNodeThatStartsIsToldWhatWasLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, _ := fallBack(t)
+		s, _ := newRestoredSet(t)
 		time.Sleep(LostRetention / 2)
 		var whole Set
 		d, ok := s.Since(Position{})
@@ -95,7 +95,7 @@
 // Guards against drills in series that forget, or remember without bound.
 func TestLostRecordsOutlastAnotherDrill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, _ := fallBack(t)
+		s, _ := newRestoredSet(t)
 		for epoch := uint64(2); epoch < 40; epoch++ {
 			time.Sleep(LostRetention - time.Nanosecond)
 			require.True(t, s.Apply(Delta{Epoch: epoch, Whole: true, To: 9, Changed: []Record{{Name: "written", Revision: 9, Body: []byte{byte(epoch)}}}}))
@@ -103,6 +103,6 @@
 		r, ok := s.LostHistory()
 		require.True(t, ok)
 		require.Subset(t, names(r.Lost), []string{"drained", "removed"})
-		require.LessOrEqual(t, len(r.Lost), 4*maxStates)
+		require.LessOrEqual(t, len(r.Lost), 4*maxLostStates)
 	})
 }
--- a/bronzerecord/set.go
+++ b/bronzerecord/set.go
@@ -33,8 +33,8 @@
 	Recollection *LostHistory `cbor:",omitempty"`
 }
 
-// end returns where the delta leads to.
-func (d *Delta) end() Position { return Position{Epoch: d.Epoch, Revision: d.To} }
+// position returns where the delta leads to.
+func (d *Delta) position() Position { return Position{Epoch: d.Epoch, Revision: d.To} }
 
 // Removal is a record that was removed at a revision.
 type Removal struct {
@@ -42,8 +42,8 @@
 	Revision uint64
 }
 
-// removal is a Removal in an epoch.
-type removal struct {
+// tombstone is a Removal in an epoch.
+type tombstone struct {
 	Removal
 	epoch uint64
 }
@@ -73,17 +73,17 @@
 	mu       sync.Mutex
 	position Position
 	records  map[string]Record
-	memory   memory
-	// removed are the latest removals, oldest first, for Since, and those of earlier
-	// epochs before them; forgotten is the revision of the newest one of the present
+	lost     lostRecords
+	// tombstones are the latest removals, oldest first, for Since, and those of earlier
+	// epochs before them; dropped is the revision of the newest one of the present
 	// epoch that was dropped from it.
-	removed   []removal
-	forgotten uint64
+	tombstones []tombstone
+	compacted  uint64
 }
 
-// maxRemoved bounds the removals that are remembered. A peer that is further
+// maxTombstones bounds the removals that are remembered. A peer that is further
 // behind gets the whole contents.
-const maxRemoved = 4096
+const maxTombstones = 4096
 
 // Position returns up to where the copy is complete, the zero Position if it has
 // nothing yet.
@@ -111,41 +111,41 @@
 func (s *Set) update(d Delta) (c Change, applied bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.follows(&d) {
+	if !s.accepts(&d) {
 		return c, false
 	}
 	if s.records == nil {
 		s.records = make(map[string]Record)
 	}
-	now, restored := time.Now(), s.restoredBy(&d)
-	if restored {
-		s.lose(&d, now)
+	now, newEpoch := time.Now(), s.inNewEpoch(&d)
+	if newEpoch {
+		s.recordLost(&d, now)
 	}
-	c.Changed = s.takeChanged(&d, restored)
-	c.Removed = s.takeRemoved(&d, restored)
+	c.Changed = s.applyChanged(&d, newEpoch)
+	c.Removed = s.applyRemoved(&d, newEpoch)
 	switch {
-	case restored:
-		s.forgotten = d.To
+	case newEpoch:
+		s.compacted = d.To
 	case d.Whole:
 		// Records may have come and gone between the last delta and this one.
-		s.forgotten = max(s.forgotten, d.To)
+		s.compacted = max(s.compacted, d.To)
 	}
-	s.position = d.end()
+	s.position = d.position()
 	if d.Recollection != nil {
-		c.Lost = s.recall(d.Recollection, now)
+		c.Lost = s.mergeLost(d.Recollection, now)
 	}
-	if restored {
-		c.Lost = s.remembered(now)
+	if newEpoch {
+		c.Lost = s.listLost(now)
 	}
 	c.Position = s.position
 	return c, true
 }
 
-// takeChanged returns what of d's records is new.
-func (s *Set) takeChanged(d *Delta, restored bool) (changed []Record) {
+// applyChanged returns what of d's records is new.
+func (s *Set) applyChanged(d *Delta, newEpoch bool) (changed []Record) {
 	for _, r := range d.Changed {
-		s.forget(r.Name, r.Revision)
-		if old, ok := s.records[r.Name]; ok && !r.replaces(&old, restored) {
+		s.dropRewritten(r.Name, r.Revision)
+		if old, ok := s.records[r.Name]; ok && !r.supersedes(&old, newEpoch) {
 			continue
 		}
 		s.records[r.Name] = r
@@ -154,17 +154,17 @@
 	return changed
 }
 
-// takeRemoved returns the names of the records that are no more.
-func (s *Set) takeRemoved(d *Delta, restored bool) (names []string) {
+// applyRemoved returns the names of the records that are no more.
+func (s *Set) applyRemoved(d *Delta, newEpoch bool) (names []string) {
 	removed := d.Removed
 	switch {
-	case restored:
-		names = s.drop(d)
+	case newEpoch:
+		names = s.dropAbsent(d)
 	case d.Whole:
-		removed = append(slices.Clone(removed), s.absent(d)...)
+		removed = append(slices.Clone(removed), s.impliedRemovals(d)...)
 	}
 	for _, r := range removed {
-		if s.remove(removal{Removal: r, epoch: d.Epoch}) {
+		if s.remove(tombstone{Removal: r, epoch: d.Epoch}) {
 			names = append(names, r.Name)
 		}
 	}
@@ -173,59 +173,59 @@
 
 // remove takes a removal in; changed is false if there was no such record. That of a record
 // which came and went between two deltas is noted all the same, as peers may have it.
-func (s *Set) remove(r removal) (changed bool) {
+func (s *Set) remove(r tombstone) (changed bool) {
 	old, ok := s.records[r.Name]
 	if ok && old.Revision > r.Revision || !ok && r.Revision <= s.position.Revision {
 		return false
 	}
-	forgotten := s.forget(r.Name, r.Revision)
+	dropped := s.dropRewritten(r.Name, r.Revision)
 	delete(s.records, r.Name)
-	s.noteRemoved(r)
-	return ok || forgotten
+	s.addTombstone(r)
+	return ok || dropped
 }
 
-// drop drops what the contents of a later epoch don't have. Nobody removed it: the store lost it.
-func (s *Set) drop(d *Delta) (names []string) {
-	for _, r := range s.absent(d) {
+// dropAbsent drops what the contents of a later epoch don't have. Nobody removed it: the store lost it.
+func (s *Set) dropAbsent(d *Delta) (names []string) {
+	for _, r := range s.impliedRemovals(d) {
 		delete(s.records, r.Name)
 		names = append(names, r.Name)
 	}
 	return names
 }
 
-// follows reports whether d leads on from what the copy has.
-func (s *Set) follows(d *Delta) bool {
+// accepts reports whether d leads on from what the copy has.
+func (s *Set) accepts(d *Delta) bool {
 	switch {
-	case s.restoredBy(d):
+	case s.inNewEpoch(d):
 		return d.Whole
 	case s.position.IsZero():
 		return d.Epoch >= s.position.Epoch && (d.Whole || d.From == 0)
 	default:
-		return s.position.Before(d.end()) && (d.Whole || d.From <= s.position.Revision)
+		return s.position.Before(d.position()) && (d.Whole || d.From <= s.position.Revision)
 	}
 }
 
-// restoredBy reports whether d is of a later epoch than what the copy has.
-func (s *Set) restoredBy(d *Delta) bool {
+// inNewEpoch reports whether d is of a later epoch than what the copy has.
+func (s *Set) inNewEpoch(d *Delta) bool {
 	return s.position != Position{} && s.position.Epoch < d.Epoch
 }
 
-// replaces reports whether r is another state of a record than old. Revisions of two
+// supersedes reports whether r is another state of a record than old. Revisions of two
 // epochs can't be compared: the same one may stand for two writes.
-func (r *Record) replaces(old *Record, restored bool) bool {
-	if restored {
-		return !r.same(old)
+func (r *Record) supersedes(old *Record, newEpoch bool) bool {
+	if newEpoch {
+		return !r.equal(old)
 	}
 	return r.Revision > old.Revision
 }
 
-// same reports whether two epochs have a record in common.
-func (r *Record) same(other *Record) bool {
+// equal reports whether two epochs have a record in common.
+func (r *Record) equal(other *Record) bool {
 	return r.Revision == other.Revision && bytes.Equal(r.Body, other.Body)
 }
 
-// absent returns the removals that a whole delta implies.
-func (s *Set) absent(d *Delta) (removed []Removal) {
+// impliedRemovals returns the removals that a whole delta implies.
+func (s *Set) impliedRemovals(d *Delta) (removed []Removal) {
 	present := make(map[string]struct{}, len(d.Changed))
 	for _, r := range d.Changed {
 		present[r.Name] = struct{}{}
@@ -239,14 +239,14 @@
 	return removed
 }
 
-func (s *Set) noteRemoved(r removal) {
-	s.removed = append(s.removed, r)
-	if len(s.removed) > maxRemoved {
-		drop := len(s.removed) - maxRemoved
-		if last := s.removed[drop-1]; last.epoch == r.epoch {
-			s.forgotten = max(s.forgotten, last.Revision)
+func (s *Set) addTombstone(r tombstone) {
+	s.tombstones = append(s.tombstones, r)
+	if len(s.tombstones) > maxTombstones {
+		drop := len(s.tombstones) - maxTombstones
+		if last := s.tombstones[drop-1]; last.epoch == r.epoch {
+			s.compacted = max(s.compacted, last.Revision)
 		}
-		s.removed = slices.Delete(s.removed, 0, drop)
+		s.tombstones = slices.Delete(s.tombstones, 0, drop)
 	}
 }
 
@@ -259,7 +259,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	whole := p.IsZero() || p.Epoch != s.position.Epoch
-	if !p.Before(s.position) || !whole && p.Revision < s.forgotten {
+	if !p.Before(s.position) || !whole && p.Revision < s.compacted {
 		return d, false
 	}
 	d = Delta{Epoch: s.position.Epoch, To: s.position.Revision, Whole: whole}
@@ -273,12 +273,12 @@
 	}
 	slices.SortFunc(d.Changed, func(a, b Record) int { return cmp.Compare(a.Name, b.Name) })
 	if whole {
-		if r, ok := s.recollection(time.Now()); ok {
+		if r, ok := s.lostHistory(time.Now()); ok {
 			d.Recollection = &r
 		}
 		return d, true
 	}
-	for _, r := range s.removed {
+	for _, r := range s.tombstones {
 		if r.epoch == d.Epoch && r.Revision > d.From {
 			d.Removed = append(d.Removed, r.Removal)
 		}
--- a/bronzerecord/set_test.go
+++ b/bronzerecord/set_test.go
@@ -43,7 +43,7 @@
 	return next
 }
 
-func (h *history) whole(at uint64) (d Delta) {
+func (h *history) snapshot(at uint64) (d Delta) {
 	d = Delta{Epoch: h.epoch, Whole: true, To: at}
 	for _, r := range h.states[at] {
 		d.Changed = append(d.Changed, r)
@@ -89,7 +89,7 @@
 			case 0:
 				h.change(fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "name")), rapid.Bool().Draw(t, "remove"))
 			case 1:
-				s.Apply(told.whole(rapid.Uint64Range(0, told.revision).Draw(t, "whole")))
+				s.Apply(told.snapshot(rapid.Uint64Range(0, told.revision).Draw(t, "whole")))
 			case 2:
 				from := rapid.Uint64Range(0, told.revision).Draw(t, "from")
 				s.Apply(told.delta(from, rapid.Uint64Range(from, told.revision).Draw(t, "to")))
@@ -139,7 +139,7 @@
 	h.change("a", false)
 	h.change("b", false)
 	var s Set
-	require.True(t, s.Apply(h.whole(2)))
+	require.True(t, s.Apply(h.snapshot(2)))
 	_, ok := s.Since(Position{Revision: 1})
 	require.False(t, ok)
 	d, ok := s.Since(Position{})
@@ -159,9 +159,9 @@
 	h := newHistory()
 	h.change("a", false)
 	var s, peer Set
-	require.True(t, s.Apply(h.whole(1)))
+	require.True(t, s.Apply(h.snapshot(1)))
 	h.change("b", false)
-	require.True(t, peer.Apply(h.whole(2)))
+	require.True(t, peer.Apply(h.snapshot(2)))
 	h.change("b", true)
 	require.True(t, s.Apply(h.delta(1, 3)))
 	d, ok := s.Since(peer.Position())
@@ -174,12 +174,12 @@
 	h := newHistory()
 	h.change("first", false)
 	var s Set
-	s.Apply(h.whole(1))
-	for i := range uint64(maxRemoved + 10) {
+	s.Apply(h.snapshot(1))
+	for i := range uint64(maxTombstones + 10) {
 		s.Apply(Delta{From: 1 + 2*i, To: 2 + 2*i, Changed: []Record{{Name: "x", Revision: 2 + 2*i}}})
 		s.Apply(Delta{From: 2 + 2*i, To: 3 + 2*i, Removed: []Removal{{Name: "x", Revision: 3 + 2*i}}})
 	}
-	require.Len(t, s.removed, maxRemoved)
+	require.Len(t, s.tombstones, maxTombstones)
 	_, ok := s.Since(Position{Revision: 2})
 	require.False(t, ok)
 	_, ok = s.Since(Position{Revision: s.Position().Revision - 3})
