--- a/bronzerecord/doc.go
+++ b/bronzerecord/doc.go
@@ -1,11 +1,10 @@
-// Package bronzerecord keeps a copy of all records that a read-only store
-// holds, and knows up to which revision of the store the copy is complete.
+// Package bronzerecord keeps a copy of all records of a read-only store, and the position in
+// the store's history up to which the copy is complete.
 //
-// A Set takes whole contents and deltas, from the store or from a peer's Set,
-// and never goes back to an older position: of an earlier epoch of the store, or
-// of a lower revision in the same one. A Follower keeps a Set up to date
-// by one long poll over all records; its Source is two functions, so the
-// package knows no protocol.
+// A Set applies snapshots and deltas, from the store or from a peer's Set. It never goes back
+// to an older position: one in an earlier epoch of the store, or one at a lower revision of
+// the same epoch. A Follower keeps a Set up to date by one long poll over all records. Its
+// Source is two functions, so the package depends on no protocol.
 //
 // # Usage
 //
--- a/bronzerecord/load.go
+++ b/bronzerecord/load.go
@@ -11,47 +11,46 @@
 )
 
 const (
-	// maxPageRetries is how often in a row a page is asked for in vain before the load
-	// begins anew: about as long as the longest outage that nodes see at their
-	// start, 10 s, takes.
+	// maxPageRetries is how often in a row a page is retried before the load starts over.
+	// That takes about as long as the longest outage that nodes see at their start, 10 s.
 	maxPageRetries = 20
-	// meanYieldDelay is how long a node that lets others read first waits, on average,
-	// after the store said that it is asked too much. Meanwhile the first of each
-	// zone read all pages, and the others have the records from them.
+	// meanYieldDelay is how long, on average, a node that lets others load first waits
+	// after it was throttled. Meanwhile the first node of each zone reads all pages, and
+	// the others get the records from it.
 	meanYieldDelay = 2 * time.Second
 )
 
-// errOvertaken says that the records came from elsewhere while they were loaded.
+// errOvertaken means that the Set got records from elsewhere while they were being
+// loaded.
 var errOvertaken = errors.New("overtaken")
 
-// errRestored says that the store came back from a copy while its records were loaded, or may
-// have just before.
+// errRestored means that the store was restored from a backup during a load, or may have
+// been just before.
 var errRestored = errors.New("restored")
 
 // Page is a part of a store's contents, in the order of names.
 type Page struct {
 	Records []Record
-	// Epoch and Revision are the store's when the page was read.
+	// Epoch and Revision are those of the store when the page was read.
 	Epoch    uint64
 	Revision uint64
 	// More says that there are records after the last one.
 	More bool
 }
 
-// load reads the whole contents, page by page. Pages are no snapshot: the
-// contents are complete up to the lowest revision of any, and a watch from
-// there brings the rest.
+// load reads the whole contents page by page. The pages are no consistent snapshot: the
+// contents are complete up to the lowest revision of any page, and a watch from there
+// returns the rest.
 //
-// The first load takes what may be some seconds old. Hundreds of nodes that start need
-// many times what they need for the rest of the day, and a tenth of that, which isn't
-// counted to the store's limit, gets them started as well. Once the store has come back from a
-// copy, what is some seconds old may be of the history before, under the epoch of now: a node
-// that took it would tell others of revisions that stand for other writes.
+// The first load accepts stale pages. Hundreds of nodes that start need many times the
+// calls of the rest of the day, and stale reads, which cost a tenth and aren't counted
+// towards the store's limit, are good enough to start with. Once the store was restored
+// from a backup, a stale page may have the history before under the present epoch: a node
+// that accepted it would advertise revisions that stand for other writes.
 //
-// A page that isn't answered is asked for again, and what was read is kept.
-// Hundreds of nodes that start at once ask for tens of pages each, many times
-// what the store answers in a second; beginning anew with each refusal, none of
-// them got to the end in 30 s.
+// A failed page is retried, and what was read is kept. Hundreds of nodes that start at
+// once request tens of pages each, many times what the store serves in a second. When
+// each refusal made them start over, none had loaded all pages after 30 s.
 func (f *Follower) load(ctx context.Context, stale bool) (d Delta, err error) {
 	d.Whole = true
 	empty, after, fails := f.Set.Position().IsZero(), "", 0
--- a/bronzerecord/lost.go
+++ b/bronzerecord/lost.go
@@ -6,59 +6,59 @@
 	"time"
 )
 
-// LostRetention is how long what a store lost is remembered after it came back from a
-// copy. Whoever wrote it writes it again within seconds, or not at all.
+// LostRetention is how long lost records are kept after the store was restored from a
+// backup. Their writers write them again within seconds, or not at all.
 const LostRetention = 10 * time.Second
 
-// LostRecord is the last that was known of a record in an earlier epoch of the store,
-// which the copy doesn't have.
+// LostRecord is a state of a record that is known from an earlier epoch of the store and
+// that the backup doesn't have.
 type LostRecord struct {
-	// Record is as it was then. Removed says that it had been removed: its Name and
-	// Revision are all there is then.
+	// Record is the lost state. If Removed is set, the record had been removed, and only
+	// its Name and Revision are known.
 	Record  Record
 	Removed bool
-	// Epoch is that of Record's revision.
+	// Epoch is the epoch of Record's revision.
 	Epoch uint64
-	// Since is the present epoch's revision at which the record was lost. One of a
-	// later revision was written again.
+	// Since is the revision of the present epoch at which the record was lost. A record
+	// with a later revision was rewritten.
 	Since uint64
-	// Age is how long ago that was when this was told.
+	// Age is how long ago the record was lost when the LostRecord was returned or sent.
 	Age time.Duration
-	// Absent says that the present epoch has no record of the name.
+	// Absent says that the present epoch has no record of that name.
 	Absent bool
 
 	lostAt time.Time
 }
 
-// position returns how late in the store's history the record is known.
+// position returns the position of the lost state in the store's history.
 func (l *LostRecord) position() Position {
 	return Position{Epoch: l.Epoch, Revision: l.Record.Revision}
 }
 
-// LostHistory is what is known of earlier epochs of the store and was lost, as one
-// node tells it to another.
+// LostHistory is what a node knows of the records that the store lost, as it tells its
+// peers.
 type LostHistory struct {
-	// Epoch is the one that lost it.
+	// Epoch is the epoch that doesn't have the records.
 	Epoch uint64
-	// Former is up to where the earlier epochs are known.
+	// Former is the position up to which earlier epochs are known.
 	Former Position
 	Lost   []LostRecord
 }
 
-// lostRecords is what a Set remembers of earlier epochs.
+// lostRecords is what a Set knows of earlier epochs.
 type lostRecords struct {
 	former Position
-	// byName are the states of each record, the earliest first. Which of two epochs' is
-	// the last word the revisions don't tell: the first contents of an epoch may have
-	// what was written again already.
+	// byName holds the lost states of each record, the earliest first. The revisions
+	// don't tell which of the states of two epochs is the last one: the first contents of
+	// an epoch may include a rewritten record already.
 	byName map[string][]LostRecord
 }
 
-// maxLostStates is how many states of a record are kept.
+// maxLostStates is the number of lost states that are kept of a record.
 const maxLostStates = 8
 
-// FormerPosition returns up to where this copy knows earlier epochs of the store, and how
-// many records it remembers from them.
+// FormerPosition returns the position up to which this copy knows earlier epochs of the
+// store, and the number of lost records that it keeps.
 func (s *Set) FormerPosition() (former Position, lost int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,23 +66,23 @@
 	return s.lost.former, len(s.lost.byName)
 }
 
-// LostHistory returns what this copy remembers of earlier epochs; ok is false if it is
-// nothing.
-func (s *Set) LostHistory() (r LostHistory, ok bool) {
+// LostHistory returns the lost records that this copy keeps. ok is false if there are
+// none.
+func (s *Set) LostHistory() (h LostHistory, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lostHistory(time.Now())
 }
 
-func (s *Set) lostHistory(now time.Time) (r LostHistory, ok bool) {
+func (s *Set) lostHistory(now time.Time) (h LostHistory, ok bool) {
 	s.expireLost(now)
 	if len(s.lost.byName) == 0 {
-		return r, false
+		return h, false
 	}
 	return LostHistory{Epoch: s.position.Epoch, Former: s.lost.former, Lost: s.listLost(now)}, true
 }
 
-// listLost returns the lost records by name.
+// listLost returns the lost states by the names of their records.
 func (s *Set) listLost(now time.Time) (lost []LostRecord) {
 	for _, name := range slices.Sorted(maps.Keys(s.lost.byName)) {
 		for _, l := range s.lost.byName[name] {
@@ -93,12 +93,13 @@
 	return lost
 }
 
-// MergeLostHistory takes in what a peer in the same epoch remembers of earlier ones.
-func (s *Set) MergeLostHistory(r LostHistory) (taken bool) {
+// MergeLostHistory merges what a peer in the same epoch knows of earlier ones. merged
+// reports whether any of it is new.
+func (s *Set) MergeLostHistory(h LostHistory) (merged bool) {
 	s.apply.Lock()
 	defer s.apply.Unlock()
 	s.mu.Lock()
-	c := Change{Position: s.position, Lost: s.mergeLost(&r, time.Now())}
+	c := Change{Position: s.position, Lost: s.mergeLost(&h, time.Now())}
 	s.mu.Unlock()
 	if len(c.Lost) > 0 && s.OnChange != nil {
 		s.OnChange(c)
@@ -106,15 +107,15 @@
 	return len(c.Lost) > 0
 }
 
-// mergeLost returns what is new in r.
-func (s *Set) mergeLost(r *LostHistory, now time.Time) (lost []LostRecord) {
-	if r.Epoch != s.position.Epoch {
+// mergeLost merges h and returns the lost states that are new.
+func (s *Set) mergeLost(h *LostHistory, now time.Time) (lost []LostRecord) {
+	if h.Epoch != s.position.Epoch {
 		return nil
 	}
-	if s.lost.former.Before(r.Former) {
-		s.lost.former = r.Former
+	if s.lost.former.Before(h.Former) {
+		s.lost.former = h.Former
 	}
-	for _, l := range r.Lost {
+	for _, l := range h.Lost {
 		l.Age = max(l.Age, 0)
 		l.lostAt = now.Add(-l.Age)
 		if l.Age >= LostRetention || s.isRewritten(&l) || !s.addLost(l) {
@@ -126,13 +127,14 @@
 	return lost
 }
 
-// isAbsent reports whether this copy has no record of the name.
+// isAbsent reports whether this copy has no record of that name.
 func (s *Set) isAbsent(l *LostRecord) bool {
 	_, ok := s.records[l.Record.Name]
 	return !ok
 }
 
-// isRewritten reports whether the present epoch has a later word on a lost record.
+// isRewritten reports whether the present epoch has a later change or removal of a lost
+// record.
 func (s *Set) isRewritten(l *LostRecord) bool {
 	if r, ok := s.records[l.Record.Name]; ok && r.Revision > l.Since {
 		return true
@@ -142,7 +144,7 @@
 	})
 }
 
-// addLost keeps a lost state of a record; added is false if it is kept already.
+// addLost adds a lost state of a record. added is false if it is known already.
 func (s *Set) addLost(l LostRecord) (added bool) {
 	states := s.lost.byName[l.Record.Name]
 	i, found := slices.BinarySearchFunc(states, l.position(), func(l LostRecord, p Position) int { return l.position().compare(p) })
@@ -157,8 +159,8 @@
 	return true
 }
 
-// dropRewritten drops the lost states of a record on which there is a later word, of the given
-// revision.
+// dropRewritten drops the lost states of a record that was written or removed at the
+// given revision after it was lost, and reports whether there were any.
 func (s *Set) dropRewritten(name string, revision uint64) (dropped bool) {
 	states := s.lost.byName[name]
 	kept := slices.DeleteFunc(states, func(l LostRecord) bool { return revision > l.Since })
@@ -166,7 +168,7 @@
 	return len(kept) < len(states)
 }
 
-// expireLost drops what nobody has written again.
+// expireLost drops the lost states that nobody has rewritten within LostRetention.
 func (s *Set) expireLost(now time.Time) {
 	for name, states := range s.lost.byName {
 		s.setLost(name, slices.DeleteFunc(states, func(l LostRecord) bool { return now.Sub(l.lostAt) >= LostRetention }))
@@ -182,7 +184,7 @@
 	s.lost.byName[name] = states
 }
 
-// recordLost remembers what the whole contents d of a later epoch lack of what is known.
+// recordLost keeps what this copy knows and the snapshot d of a later epoch lacks.
 func (s *Set) recordLost(d *Delta, now time.Time) {
 	s.expireLost(now)
 	for _, states := range s.lost.byName {
--- a/bronzerecord/position.go
+++ b/bronzerecord/position.go
@@ -2,10 +2,10 @@
 
 import "cmp"
 
-// Position is a place in the history of a store. A store that comes back from a
-// copy has lost what it acknowledged after the copy was made, and gives those
-// revisions out again: its history is another one from there on, and its epoch one
-// higher. A store that tells no epoch has epoch 0.
+// Position identifies a state of a store. A store that was restored from a backup has
+// lost the writes that it acknowledged after the backup was made, and uses their
+// revisions again for other writes. Its history is a different one from there on, with an
+// epoch that is one higher. A store that reports no epoch has epoch 0.
 type Position struct {
 	Epoch    uint64
 	Revision uint64
@@ -19,5 +19,5 @@
 	return cmp.Or(cmp.Compare(p.Epoch, q.Epoch), cmp.Compare(p.Revision, q.Revision))
 }
 
-// IsZero reports whether p is that of a copy that has nothing yet.
+// IsZero reports whether p is the position of an empty copy.
 func (p Position) IsZero() bool { return p.Revision == 0 }
--- a/bronzerecord/set.go
+++ b/bronzerecord/set.go
@@ -8,35 +8,37 @@
 	"time"
 )
 
-// Record is one record as the store holds it. Nobody may change its Body.
+// Record is a record of the store. Its Body must not be modified.
 type Record struct {
 	Name string
-	// Revision is that of its last change, Created that of its creation.
+	// Revision is the store's revision at the last change of the record, Created the one
+	// at its creation.
 	Revision uint64
 	Created  uint64
 	Body     []byte
 }
 
-// Delta leads from one revision of the contents to another.
+// Delta is the change from one revision of the store's contents to another, or a
+// snapshot.
 type Delta struct {
-	// Epoch is that of the history that both revisions are of.
+	// Epoch is the epoch of both revisions.
 	Epoch uint64
-	// Whole says that Changed is all there is; From has no meaning then.
+	// Whole marks a snapshot: Changed holds all records, and From has no meaning.
 	Whole bool
 	From  uint64
-	// To is the revision up to which the contents are complete afterwards.
+	// To is the revision up to which a copy is complete once it has applied the delta.
 	To      uint64
 	Changed []Record
 	Removed []Removal
-	// Recollection is what a peer adds to whole contents: what it knows of earlier
-	// epochs and the store lost.
+	// Recollection is added to a snapshot by a peer: what it knows of records that the
+	// store has lost.
 	Recollection *LostHistory `cbor:",omitempty"`
 }
 
-// position returns where the delta leads to.
+// position returns the position to which the delta leads.
 func (d *Delta) position() Position { return Position{Epoch: d.Epoch, Revision: d.To} }
 
-// Removal is a record that was removed at a revision.
+// Removal says that a record was removed at a revision.
 type Removal struct {
 	Name     string
 	Revision uint64
@@ -48,56 +50,56 @@
 	epoch uint64
 }
 
-// Change is what a Delta changed in a Set.
+// Change is what a Delta or a LostHistory changed in a Set.
 type Change struct {
-	// Position is the Set's since.
+	// Position is the position of the Set after the change.
 	Position Position
 	Changed  []Record
 	Removed  []string
-	// Lost is what the store has lost by coming back from a copy, the earliest states
-	// first. It is to count for more than Changed and Removed until it is written
-	// again, or for RecallFor.
+	// Lost holds the records that the store has lost by being restored from a backup, the
+	// earliest state of each first. They take precedence over Changed and Removed until
+	// they are rewritten, or for LostRetention.
 	Lost []LostRecord
 }
 
-// Set is a copy of the store's records. The zero Set is empty and ready. All
+// Set is a copy of the store's records. The zero Set is empty and ready to use. All
 // methods may be called concurrently.
 type Set struct {
-	// OnChange is called with each change, one call at a time. It must not
-	// call Apply.
+	// OnChange is called with each change, one call at a time. It must not call Apply or
+	// MergeLostHistory.
 	OnChange func(Change)
 
-	// apply orders the calls of OnChange.
+	// apply serializes the calls of OnChange.
 	apply sync.Mutex
 
 	mu       sync.Mutex
 	position Position
 	records  map[string]Record
 	lost     lostRecords
-	// tombstones are the latest removals, oldest first, for Since, and those of earlier
-	// epochs before them; dropped is the revision of the newest one of the present
-	// epoch that was dropped from it.
+	// tombstones are those of the latest removals, oldest first, for Since. Those of
+	// earlier epochs come before the others. compacted is the revision after which those
+	// of the present epoch are complete.
 	tombstones []tombstone
 	compacted  uint64
 }
 
-// maxTombstones bounds the removals that are remembered. A peer that is further
-// behind gets the whole contents.
+// maxTombstones is the number of tombstones that are kept. Since returns nothing for a
+// copy that is further behind.
 const maxTombstones = 4096
 
-// Position returns up to where the copy is complete, the zero Position if it has
-// nothing yet.
+// Position returns the position up to which the copy is complete, the zero Position if it
+// is empty.
 func (s *Set) Position() Position {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.position
 }
 
-// Apply takes a delta in. It is refused, with applied false, if it ends before this
-// copy's position, and unless it is whole if it starts after it or is of another
-// epoch, since something between them would be missing. Within a delta of the same
-// epoch each record is compared by its own revision, so a delta may overlap what is
-// known.
+// Apply applies a delta. It refuses, with applied false, a delta that doesn't lead beyond
+// the position of a copy that has contents. Unless it is a snapshot, it also refuses one
+// that starts after that position or is of another epoch, since changes in between would
+// be missing. Within an epoch records are compared by their own revisions, so a delta may
+// overlap with what the copy has.
 func (s *Set) Apply(d Delta) (applied bool) {
 	s.apply.Lock()
 	defer s.apply.Unlock()
@@ -127,7 +129,7 @@
 	case newEpoch:
 		s.compacted = d.To
 	case d.Whole:
-		// Records may have come and gone between the last delta and this one.
+		// Records may have been created and removed again since the last delta.
 		s.compacted = max(s.compacted, d.To)
 	}
 	s.position = d.position()
@@ -141,7 +143,7 @@
 	return c, true
 }
 
-// applyChanged returns what of d's records is new.
+// applyChanged applies d's records and returns those that are new to the copy.
 func (s *Set) applyChanged(d *Delta, newEpoch bool) (changed []Record) {
 	for _, r := range d.Changed {
 		s.dropRewritten(r.Name, r.Revision)
@@ -154,7 +156,8 @@
 	return changed
 }
 
-// applyRemoved returns the names of the records that are no more.
+// applyRemoved removes the records that d removes, and returns the names of those that
+// were there.
 func (s *Set) applyRemoved(d *Delta, newEpoch bool) (names []string) {
 	removed := d.Removed
 	switch {
@@ -171,8 +174,9 @@
 	return names
 }
 
-// remove takes a removal in; changed is false if there was no such record. That of a record
-// which came and went between two deltas is noted all the same, as peers may have it.
+// remove applies a tombstone. changed is false if there was neither the record nor a lost
+// state of it. The tombstone of a record that was created and removed between two deltas
+// is kept too, since peers may have the record.
 func (s *Set) remove(r tombstone) (changed bool) {
 	old, ok := s.records[r.Name]
 	if ok && old.Revision > r.Revision || !ok && r.Revision <= s.position.Revision {
@@ -184,7 +188,8 @@
 	return ok || dropped
 }
 
-// dropAbsent drops what the contents of a later epoch don't have. Nobody removed it: the store lost it.
+// dropAbsent deletes the records that the snapshot of a later epoch doesn't have. They
+// get no tombstones: they were not removed but lost by the store.
 func (s *Set) dropAbsent(d *Delta) (names []string) {
 	for _, r := range s.impliedRemovals(d) {
 		delete(s.records, r.Name)
@@ -193,7 +198,7 @@
 	return names
 }
 
-// accepts reports whether d leads on from what the copy has.
+// accepts reports whether d can be applied to this copy.
 func (s *Set) accepts(d *Delta) bool {
 	switch {
 	case s.inNewEpoch(d):
@@ -205,13 +210,14 @@
 	}
 }
 
-// inNewEpoch reports whether d is of a later epoch than what the copy has.
+// inNewEpoch reports whether d is of a later epoch than this copy. It is false for a new
+// copy.
 func (s *Set) inNewEpoch(d *Delta) bool {
 	return s.position != Position{} && s.position.Epoch < d.Epoch
 }
 
-// supersedes reports whether r is another state of a record than old. Revisions of two
-// epochs can't be compared: the same one may stand for two writes.
+// supersedes reports whether r replaces old in a copy. Revisions of different epochs
+// can't be compared: the same one may stand for two writes.
 func (r *Record) supersedes(old *Record, newEpoch bool) bool {
 	if newEpoch {
 		return !r.equal(old)
@@ -219,12 +225,12 @@
 	return r.Revision > old.Revision
 }
 
-// equal reports whether two epochs have a record in common.
+// equal reports whether r and other are the same state of a record.
 func (r *Record) equal(other *Record) bool {
 	return r.Revision == other.Revision && bytes.Equal(r.Body, other.Body)
 }
 
-// impliedRemovals returns the removals that a whole delta implies.
+// impliedRemovals returns the removals of the records that a snapshot doesn't have.
 func (s *Set) impliedRemovals(d *Delta) (removed []Removal) {
 	present := make(map[string]struct{}, len(d.Changed))
 	for _, r := range d.Changed {
@@ -250,11 +256,11 @@
 	}
 }
 
-// Since returns what leads a copy at the given position to this one's: all records
-// for a copy that has none, or those of another epoch. ok is false if this copy isn't
-// newer, or doesn't know what was removed in between. It doesn't answer with all records
-// then: a node that has just started knows no removals, and would fill its link
-// with whole copies for nodes that are one record behind.
+// Since returns the delta from the given position to this copy's: a snapshot for a copy
+// that is empty or of another epoch. ok is false if this copy isn't newer, or lacks
+// tombstones of the time in between. It doesn't return a snapshot then: a node that has
+// just started has no tombstones, and would fill its link with snapshots for nodes that
+// are one record behind.
 func (s *Set) Since(p Position) (d Delta, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
