--- a/bronzeretry/backoff.go
+++ b/bronzeretry/backoff.go
@@ -1,8 +1,8 @@
-// Package bronzeretry paces attempts that fail.
+// Package bronzeretry provides pauses between attempts that fail, with exponential backoff.
 //
 // # Usage
 //
-//	backoff := bronzeretry.Backoff{Least: 100 * time.Millisecond, Most: 2 * time.Second}
+//	backoff := bronzeretry.Backoff{Min: 100 * time.Millisecond, Max: 2 * time.Second}
 //	for try() != nil {
 //		bronzeretry.Pause(ctx, backoff.Next())
 //	}
@@ -15,16 +15,18 @@
 	"time"
 )
 
-// Backoff gives pauses that grow with each failure in a row.
+// Backoff returns pauses that grow with each consecutive failure. Its zero value returns
+// none.
 type Backoff struct {
-	// Min is the bound of the first pause, Max that of all.
+	// Min is the bound of the first pause, Max that of every pause.
 	Min, Max time.Duration
 
 	bound time.Duration
 }
 
-// Next returns the pause after a failure: half of its bound, and as much again
-// at random, so that nodes don't come back all at once. The bound doubles.
+// Next returns the pause after a failure: half of its bound, and up to as much again at
+// random, so that nodes don't all retry at the same time. The bound starts at Min and
+// doubles with each call, up to Max.
 func (b *Backoff) Next() time.Duration {
 	b.bound = min(max(2*b.bound, b.Min), b.Max)
 	half := b.bound / 2
@@ -34,7 +36,7 @@
 	return half + rand.N(half)
 }
 
-// Reset makes the next pause the first again, after a success.
+// Reset gives the next pause the bound of the first one. Call it after a success.
 func (b *Backoff) Reset() { b.bound = 0 }
 
 // Pause waits for d or until ctx is done.
--- a/bronzeretry/backoff_test.go
+++ b/bronzeretry/backoff_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestBackoffGrowsToItsBound(t *testing.T) {
+func TestBackoff(t *testing.T) {
 	b := Backoff{Min: 100 * time.Millisecond, Max: time.Second}
 	for _, bound := range []time.Duration{100, 200, 400, 800, 1000, 1000} {
 		bound *= time.Millisecond
@@ -23,14 +23,14 @@
 	require.Zero(t, zero.Next())
 }
 
-func TestPauseEndsWithItsContext(t *testing.T) {
+func TestPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		begun := time.Now()
+		start := time.Now()
 		Pause(ctx, time.Minute)
-		require.Equal(t, time.Second, time.Since(begun))
+		require.Equal(t, time.Second, time.Since(start))
 		Pause(t.Context(), 0)
-		require.Equal(t, time.Second, time.Since(begun))
+		require.Equal(t, time.Second, time.Since(start))
 	})
 }
