--- a/bronzerecord/follower.go
+++ b/bronzerecord/follower.go
@@ -117,8 +117,8 @@
 	}
 	known := f.Set.Position()
 	whole := known.IsZero() || f.reload
-	// A stale load will do if it isn't a repeated one: the watch that follows returns
-	// what has changed since, if the store still has it.
+	// A load may be stale unless it is a reload: the watch that follows returns what has
+	// changed since, if the store still has it.
 	stale := whole && !f.reload
 	start := time.Now()
 	d, err := f.call(ctx, whole, stale, known.Revision)
--- a/bronzerecord/load.go
+++ b/bronzerecord/load.go
@@ -45,7 +45,7 @@
 // The first load accepts stale pages. Hundreds of nodes that start need many times the
 // calls of the rest of the day, and stale reads, which cost a tenth and aren't counted
 // towards the store's limit, are good enough to start with. Once the store was restored
-// from a backup, a stale page may have the history before under the present epoch: a node
+// from a backup, a stale page may show the earlier history under the present epoch: a node
 // that accepted it would advertise revisions that stand for other writes.
 //
 // A failed page is retried, and what was read is kept. Hundreds of nodes that start at
