--- a/bronzerecord/follower_test.go
+++ b/bronzerecord/follower_test.go
@@ -18,19 +18,21 @@
 	"bronzeusher.example/bronzeusher/bronzeretry"
 )
 
-// fakeStore is a store whose watches can go deaf. Tests change it by do.
+// fakeStore is a store whose watches can be made to miss changes. Tests change it in
+// locked.
 type fakeStore struct {
 	mu               sync.Mutex
 	h                *history
 	compacted        uint64
 	eventsSuppressed bool
 	down             bool
-	// throttled says whether a read is refused, pageSize bounds pages if it
-	// isn't 0.
+	// throttled reports whether a read is refused. pageSize bounds the pages if it isn't
+	// 0.
 	throttled func() bool
 	pageSize  int
 	latency   time.Duration
-	// replicaLag is how many changes a replica lags that answers a stale read, none if nil.
+	// replicaLag returns by how many changes the replica that answers a stale read lags;
+	// nil means none.
 	replicaLag func() uint64
 	loads      int
 	stale      int
@@ -88,7 +90,7 @@
 	return d, nil
 }
 
-// poll returns what a watch hears now.
+// poll returns the present answer to a watch.
 func (f *fakeStore) poll(after uint64) (Delta, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -104,10 +106,10 @@
 	}
 }
 
-// The store loses its history while a watch waits. The watch hears nothing of
-// a change and is answered as if there was none; callers would get the old
-// configuration for as long as nothing else changes.
-func TestChangeThatAWatchMissedIsHeardByTheNext(t *testing.T) {
+// The store loses its history while a watch waits. The watch misses a change and is
+// answered as if there was none. Callers would get the old configuration until something
+// else changes.
+func TestFollowerMissedChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeStore{h: newHistory()}
 		f.h.change("a", false)
@@ -135,9 +137,9 @@
 	})
 }
 
-// Many changes come one after the other, as servers are replaced. Each answer
-// is a call that is paid for, so they are gathered.
-func TestChangesGather(t *testing.T) {
+// Many changes follow one another, as when servers are replaced. Each answer is a call
+// that is paid for, so changes are batched.
+func TestFollowerBatchDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeStore{h: newHistory()}
 		var s Set
@@ -157,10 +159,10 @@
 	})
 }
 
-// The store is down for 30 s. Nodes that ask it all the time would press it
-// when it comes back, and each call is paid for; but a node must have the
-// newest records within four seconds of the return.
-func TestFollowerBacksOffAndIsBackInTime(t *testing.T) {
+// The store is down for 30 s. Nodes that call it all the time would overload it when it
+// comes back, and each call is paid for. But a node must have the newest records within
+// four seconds of the store's return.
+func TestFollowerBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeStore{h: newHistory()}
 		f.h.change("a", false)
@@ -194,8 +196,8 @@
 	})
 }
 
-// Guards against nodes that press a store which shows an older state.
-func TestFollowerBacksOffFromAStoreThatFellBack(t *testing.T) {
+// Guards against nodes that overload a store which returns an older state than they have.
+func TestFollowerBackoffRegressed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newPagedStore(30)
 		f.latency = 4 * time.Millisecond
@@ -220,7 +222,7 @@
 	})
 }
 
-func TestStandbyDoesNotCall(t *testing.T) {
+func TestFollowerStandby(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeStore{h: newHistory()}
 		var active atomic.Bool
@@ -238,8 +240,9 @@
 	})
 }
 
-// Guards against what the store lost, or wrote under another revision, staying at a node.
-func TestFollowerHoldsWhatTheStoreHoldsAfterCopies(t *testing.T) {
+// Guards against a node that keeps what the store lost in a restore, or wrote again under
+// another revision.
+func TestFollowerRestores(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newPagedStore(rapid.IntRange(0, 25).Draw(r, "Records"))
--- a/bronzerecord/fuzz_test.go
+++ b/bronzerecord/fuzz_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Deltas and what is remembered come from other nodes. Whatever is in them, a set never goes
-// back, remembers nothing longer than it may, and what it tells others leads them to where it
-// is.
+// Deltas and lost histories come from other nodes. Whatever is in them, a set must never
+// go back, must keep no lost record longer than LostRetention, and must return a delta
+// that leads others to its own position.
 func FuzzDeltas(f *testing.F) {
 	lost := LostHistory{Epoch: 2, Former: Position{Epoch: 1, Revision: 9}, Lost: []LostRecord{
 		{Record: Record{Name: "a", Revision: 9}, Epoch: 1, Since: 3}, {Record: Record{Name: "b"}, Removed: true, Age: -1},
--- a/bronzerecord/load_test.go
+++ b/bronzerecord/load_test.go
@@ -20,7 +20,7 @@
 	return f
 }
 
-// follow runs a follower in the background until the test ends.
+// follow runs a follower in the background until stop is called.
 func follow(t *testing.T, f *Follower) (stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() { _ = f.Run(ctx) }()
@@ -30,10 +30,10 @@
 	}
 }
 
-// The store refuses every second call, since many nodes ask at once. What was
-// read is kept: beginning anew, a node would never get to the last of 20 pages,
-// and its callers would wait for as long as the others ask.
-func TestRefusedPagesAreAskedForAgain(t *testing.T) {
+// The store refuses every second call because many nodes call at once. The pages that
+// were read must be kept: if the load started over each time, a node would never reach
+// the last of 20 pages, and its callers would wait as long as the other nodes load.
+func TestLoadRetriesPages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newPagedStore(200)
 		f.throttled = func() bool { return f.loads%2 == 0 }
@@ -47,9 +47,9 @@
 	})
 }
 
-// A node that can't read all pages has the records from a peer meanwhile. It
-// asks the store for no further page.
-func TestRecordsOfAPeerEndALoad(t *testing.T) {
+// A node that can't read all pages gets the records from a peer meanwhile. It must not
+// request further pages.
+func TestLoadOvertakenByPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newPagedStore(200)
 		f.throttled = func() bool { return f.loads > 5 }
@@ -71,10 +71,10 @@
 	})
 }
 
-// Power is back after a cut of all: 100 nodes ask for 60 pages each, of a store
-// that answers 400 calls a second. If all read, none would have all records for
-// 15 s. The first of each zone read, and the others have the records from them.
-func TestFewReadWhereAllStartAtOnce(t *testing.T) {
+// After a power cut 100 nodes start at once and request 60 pages each from a store that
+// answers 400 calls a second. If all loaded, none would have all records for 15 s.
+// Instead the first node of each zone loads, and the others get the records from it.
+func TestLoadYield(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const nodes, zones, perSecond = 100, 4, 400
 		f := newPagedStore(600)
@@ -94,21 +94,21 @@
 				Source: f.source(), Set: &sets[i], Yield: func() bool { return i >= zones },
 			}))
 		}
-		begun := time.Now()
+		start := time.Now()
 		for sets[0].Position().Revision == 0 && sets[1].Position().Revision == 0 && sets[2].Position().Revision == 0 && sets[3].Position().Revision == 0 {
 			time.Sleep(100 * time.Millisecond)
 		}
-		require.Less(t, time.Since(begun), 5*time.Second)
+		require.Less(t, time.Since(start), 5*time.Second)
 		for _, stop := range stops {
 			stop()
 		}
 	})
 }
 
-// A node starts while servers come and go, and reads pages from replicas that lag by
-// different times. With the watch that follows it has just what the store holds: no server
+// A node starts while servers come and go, and loads pages from replicas with different
+// lags. After the watch that follows it must have exactly what the store has: no server
 // that left between two pages, and none missing.
-func TestPagesOfDifferentAgesLeadToWhatTheStoreHolds(t *testing.T) {
+func TestLoadStalePages(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newPagedStore(60)
@@ -135,10 +135,10 @@
 	})
 }
 
-// The store has lost its history since the replicas that a node loads from were up to
-// date. Their contents would be behind what a watch can begin from, again and again: the
-// next load takes none but the store's own word.
-func TestLoadAfterALostHistoryIsNotStale(t *testing.T) {
+// The store has compacted its history since the state that the replicas are at. Their
+// contents would be older than any revision a watch can start from, again and again, so
+// the next load must not accept stale pages.
+func TestLoadAfterCompaction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newPagedStore(25)
 		f.replicaLag = func() uint64 { return 5 }
@@ -155,8 +155,9 @@
 	})
 }
 
-// Guards against a stale read that shows the history before a copy under the epoch of now.
-func TestLoadTakesNothingOfTheHistoryBefore(t *testing.T) {
+// Guards against stale pages that show the history before a restore under the present
+// epoch.
+func TestLoadStalePagesAfterRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		before := newPagedStore(30)
 		f := newPagedStore(30)
--- a/bronzerecord/lost_test.go
+++ b/bronzerecord/lost_test.go
@@ -16,7 +16,8 @@
 	return list
 }
 
-// newRestoredSet returns a set that knew records which its store lost, and the changes that it told.
+// newRestoredSet returns a set that has records which its store has lost in a restore,
+// and the changes that it reported.
 func newRestoredSet(t *testing.T) (s *Set, changes *[]Change) {
 	s, changes = &Set{}, &[]Change{}
 	s.OnChange = func(c Change) { *changes = append(*changes, c) }
@@ -33,8 +34,8 @@
 	return s, changes
 }
 
-// Guards against forgetting what the store lost too soon, and against keeping it for ever.
-func TestLostRecordsAreRememberedUntilTheyAreWrittenAgain(t *testing.T) {
+// Guards against dropping lost records too soon, and against keeping them for ever.
+func TestLostRecordLifetime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, changes := newRestoredSet(t)
 		lost := (*changes)[len(*changes)-1].Lost
@@ -46,7 +47,7 @@
 		_, n := s.FormerPosition()
 		require.Equal(t, 2, n)
 		require.True(t, s.Apply(Delta{Epoch: 1, From: 3, To: 4, Removed: []Removal{{Name: "drained", Revision: 4}}}))
-		require.Equal(t, []string{"drained"}, (*changes)[len(*changes)-1].Removed, "its removal is news, though the copy never had it")
+		require.Equal(t, []string{"drained"}, (*changes)[len(*changes)-1].Removed, "the removal is reported although the backup never had the record")
 		time.Sleep(LostRetention - time.Nanosecond)
 		_, n = s.FormerPosition()
 		require.Equal(t, 1, n)
@@ -59,41 +60,42 @@
 	})
 }
 
-// Guards against a peer that tells too little, or brings back what has been written again.
-func TestNodeThatStartsIsToldWhatWasLost(t *testing.T) {
+// Guards against a peer that reports too little, or brings back what has been rewritten.
+func TestMergeLostHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newRestoredSet(t)
 		time.Sleep(LostRetention / 2)
 		var whole Set
 		d, ok := s.Since(Position{})
 		require.True(t, ok)
-		var told []LostRecord
-		whole.OnChange = func(c Change) { told = c.Lost }
+		var lost []LostRecord
+		whole.OnChange = func(c Change) { lost = c.Lost }
 		require.True(t, whole.Apply(d))
-		require.Equal(t, []string{"drained", "removed", "written"}, names(told))
+		require.Equal(t, []string{"drained", "removed", "written"}, names(lost))
 
 		var started Set
 		require.True(t, started.Apply(Delta{Epoch: 1, Whole: true, To: 3, Changed: []Record{{Name: "written", Revision: 3}}}))
 		r, ok := s.LostHistory()
 		require.True(t, ok)
 		require.True(t, started.MergeLostHistory(r))
-		require.False(t, started.MergeLostHistory(r), "it knows")
+		require.False(t, started.MergeLostHistory(r), "merged already")
 		former, n := started.FormerPosition()
 		require.Equal(t, 2, n)
 		require.Equal(t, Position{Revision: 5}, former)
 
 		later := Set{}
 		require.True(t, later.Apply(Delta{Epoch: 2, Whole: true, To: 3}))
-		require.False(t, later.MergeLostHistory(r), "it is of another epoch")
+		require.False(t, later.MergeLostHistory(r), "another epoch")
 
 		time.Sleep(LostRetention / 2)
 		_, n = started.FormerPosition()
-		require.Zero(t, n, "what is told later isn't remembered longer")
+		require.Zero(t, n, "a later merge does not extend the retention")
 	})
 }
 
-// Guards against drills in series that forget, or remember without bound.
-func TestLostRecordsOutlastAnotherDrill(t *testing.T) {
+// Guards against a series of restores after which lost records are dropped, or kept
+// without bound.
+func TestLostRecordsRepeatedRestores(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newRestoredSet(t)
 		for epoch := uint64(2); epoch < 40; epoch++ {
--- a/bronzerecord/set_test.go
+++ b/bronzerecord/set_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// history is a naive store: it keeps every revision.
+// history is a naive store that keeps the contents at every revision.
 type history struct {
 	epoch    uint64
 	revision uint64
@@ -32,7 +32,7 @@
 	h.states = append(h.states, next)
 }
 
-// restored returns the history of the store after it came back from a copy of a revision.
+// restored returns the history of the store after a restore from a backup at a revision.
 func (h *history) restored(at uint64) *history {
 	next := &history{epoch: h.epoch + 1, revision: at, states: slices.Clone(h.states[:at+1])}
 	for _, r := range h.removals {
@@ -72,10 +72,10 @@
 	return maps.Clone(s.records)
 }
 
-// Whatever copies and deltas of whatever age and epoch reach two sets, from the store
-// or from each other, each holds exactly what the store held at the position
-// that the set says it has, and never goes back.
-func TestSetsHoldWhatTheStoreHeld(t *testing.T) {
+// Whatever snapshots and deltas of any age and epoch reach two sets, from the store or
+// from each other, each set must have exactly the contents that the store had at the
+// set's position, and must never go back.
+func TestSetContents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHistory()
 		epochs := []*history{h}
@@ -84,15 +84,15 @@
 			i := rapid.IntRange(0, 1).Draw(t, "set")
 			s, peer := sets[i], sets[1-i]
 			before := s.Position()
-			told := epochs[rapid.IntRange(0, len(epochs)-1).Draw(t, "epoch")]
+			source := epochs[rapid.IntRange(0, len(epochs)-1).Draw(t, "epoch")]
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0:
 				h.change(fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "name")), rapid.Bool().Draw(t, "remove"))
 			case 1:
-				s.Apply(told.snapshot(rapid.Uint64Range(0, told.revision).Draw(t, "whole")))
+				s.Apply(source.snapshot(rapid.Uint64Range(0, source.revision).Draw(t, "whole")))
 			case 2:
-				from := rapid.Uint64Range(0, told.revision).Draw(t, "from")
-				s.Apply(told.delta(from, rapid.Uint64Range(from, told.revision).Draw(t, "to")))
+				from := rapid.Uint64Range(0, source.revision).Draw(t, "from")
+				s.Apply(source.delta(from, rapid.Uint64Range(from, source.revision).Draw(t, "to")))
 			case 3:
 				if d, ok := peer.Since(s.Position()); ok {
 					require.True(t, s.Apply(d))
@@ -111,8 +111,8 @@
 	})
 }
 
-// Guards against reading all servers again at every node after a drill.
-func TestRecordsThatTheCopyHasAreNoChange(t *testing.T) {
+// Guards against every node processing all servers again after a restore.
+func TestApplyNewEpochChanges(t *testing.T) {
 	var s Set
 	var changes []Change
 	s.OnChange = func(c Change) { changes = append(changes, c) }
@@ -131,10 +131,10 @@
 	require.Equal(t, Position{Epoch: 2, Revision: 5}, changes[1].Position)
 }
 
-// A node that has just started is asked by one that is a record behind. It
-// can't know what was removed in between; sending everything to each that asks
-// filled a slow link for a second, and callers' packets waited.
-func TestSetWithoutHistoryAnswersNothing(t *testing.T) {
+// A node that has just started is asked for a delta by a node that is one record behind.
+// It can't know what was removed in between. When it sent all records to each node that
+// asked, that filled a slow link for a second and delayed callers' packets.
+func TestSinceWithoutTombstones(t *testing.T) {
 	h := newHistory()
 	h.change("a", false)
 	h.change("b", false)
@@ -154,8 +154,8 @@
 	require.Empty(t, d.Changed)
 }
 
-// Guards against servers that stay registered at a peer of a node which never knew them.
-func TestRemovalOfARecordThatWasNotKnownIsPassedOn(t *testing.T) {
+// Guards against servers that stay registered at a peer of a node that never had them.
+func TestSinceRemovalOfUnknownRecord(t *testing.T) {
 	h := newHistory()
 	h.change("a", false)
 	var s, peer Set
@@ -170,7 +170,7 @@
 	require.Equal(t, h.states[3], contents(&peer))
 }
 
-func TestSetRemembersABoundedNumberOfRemovals(t *testing.T) {
+func TestMaxTombstones(t *testing.T) {
 	h := newHistory()
 	h.change("first", false)
 	var s Set
