--- a/bronzegossip/gossip.go
+++ b/bronzegossip/gossip.go
@@ -39,7 +39,8 @@
 	epochBehindTimeout = 1500 * time.Millisecond
 	// peersPerMessage is the number of peers that a full message names.
 	peersPerMessage = 3
-	// maxDeltaBytes is the size up to which a delta is sent with the news of it.
+	// maxDeltaBytes is the size of the largest delta that is sent along with a new
+	// position. Peers fetch larger ones.
 	maxDeltaBytes = 700
 )
 
@@ -287,10 +288,10 @@
 func (g *Gossip) StoreFailed() {
 	g.mu.Lock()
 	g.storeFailed = true
-	ahead := g.newerPeer
+	newerPeer := g.newerPeer
 	g.mu.Unlock()
-	if g.Fetch != nil && ahead.Name != "" && g.Records.Position().IsZero() {
-		g.Fetch(ahead, bronzerecord.Position{})
+	if g.Fetch != nil && newerPeer.Name != "" && g.Records.Position().IsZero() {
+		g.Fetch(newerPeer, bronzerecord.Position{})
 	}
 }
 
--- a/bronzegossip/peers.go
+++ b/bronzegossip/peers.go
@@ -60,8 +60,8 @@
 	if p.Name == "" || p.Name == g.Self.Name || !p.Address.IsValid() {
 		return
 	}
-	heardAt := now.Add(-time.Duration(p.HeardMS) * time.Millisecond)
-	if now.Sub(heardAt) > forgetTimeout {
+	lastHeard := now.Add(-time.Duration(p.HeardMS) * time.Millisecond)
+	if now.Sub(lastHeard) > forgetTimeout {
 		return
 	}
 	known := g.peers[p.Name]
@@ -74,15 +74,15 @@
 		i, _ := g.find(p.Name)
 		g.byName = slices.Insert(g.byName, i, known)
 	}
-	if p.Incarnation < known.Incarnation || !heardAt.After(known.lastHeard) {
+	if p.Incarnation < known.Incarnation || !lastHeard.After(known.lastHeard) {
 		return
 	}
 	left := p.Leaving && !known.Leaving
-	known.Peer, known.lastHeard = p, heardAt
+	known.Peer, known.lastHeard = p, lastHeard
 	switch {
 	case left:
 		g.peerEvent(known, PeerLeft)
-	case known.lost && now.Sub(heardAt) < g.livenessTimeout(now):
+	case known.lost && now.Sub(lastHeard) < g.livenessTimeout(now):
 		known.lost = false
 		g.peerEvent(known, PeerFound)
 	}
--- a/bronzegossip/reader.go
+++ b/bronzegossip/reader.go
@@ -13,9 +13,9 @@
 	// The timeout leaves one second of the three that a change may take.
 	confirmationTimeout = 1900 * time.Millisecond
 	// takeOverStep is the further delay of each subsequent node of the zone, for the
-	// first linearTakeOvers of them. After these the step doubles with each node: it is
-	// unlikely that so many nodes of a zone are gone at once, but a store that fails does
-	// so for every node, and a whole large fleet would ask it.
+	// first linearTakeOvers of them. After these the step doubles with each node. It is
+	// unlikely that so many nodes of a zone are gone at once, but a failing store fails
+	// for every node, and otherwise the whole of a large fleet would call it.
 	takeOverStep    = 250 * time.Millisecond
 	linearTakeOvers = 3
 	// discoveryDelay is how long a starting node that has records waits to discover peers
--- a/bronzerecord/lost.go
+++ b/bronzerecord/lost.go
@@ -35,8 +35,8 @@
 	return Position{Epoch: l.Epoch, Revision: l.Record.Revision}
 }
 
-// LostHistory is what a node knows of the records that the store lost, as it tells its
-// peers.
+// LostHistory is what a node knows about the records that the store has lost, in the form
+// in which peers exchange it.
 type LostHistory struct {
 	// Epoch is the epoch that doesn't have the records.
 	Epoch uint64
--- a/bronzerecord/set.go
+++ b/bronzerecord/set.go
@@ -279,8 +279,8 @@
 	}
 	slices.SortFunc(d.Changed, func(a, b Record) int { return cmp.Compare(a.Name, b.Name) })
 	if whole {
-		if r, ok := s.lostHistory(time.Now()); ok {
-			d.Recollection = &r
+		if h, ok := s.lostHistory(time.Now()); ok {
+			d.Recollection = &h
 		}
 		return d, true
 	}
