--- a/bronzegossip/doc.go
+++ b/bronzegossip/doc.go
@@ -15,9 +15,9 @@
 // The messages also carry the loads that nodes put on servers (Load), and what nodes have
 // observed of servers that don't answer (Report), which each node forwards.
 //
-// No node is declared dead: one that isn't heard of gets no more messages, and nothing else
-// depends on it. Package bronzefleet, whose views decide which node owns a flow, is separate
-// for that reason.
+// No node is declared dead: one that isn't heard of gets no more news, only a request now and
+// then, and nothing else depends on it. Package bronzefleet, whose views decide which node
+// owns a flow, is separate for that reason.
 //
 // # Usage
 //
--- a/bronzegossip/gossip.go
+++ b/bronzegossip/gossip.go
@@ -273,8 +273,8 @@
 	}
 }
 
-// needsLostHistory reports whether the sender of m knows earlier epochs up to a later
-// position than this node, which may have started since.
+// needsLostHistory reports whether the sender of m is in the same epoch and knows earlier
+// ones up to a later position than this node, which may have started since.
 func (g *Gossip) needsLostHistory(m *Message) bool {
 	if m.former().IsZero() || m.Epoch != g.Records.Position().Epoch {
 		return false
