--- a/bronzerecord/load.go
+++ b/bronzerecord/load.go
@@ -45,12 +45,12 @@
 // The first load accepts stale pages. Hundreds of nodes that start need many times the
 // calls of the rest of the day, and stale reads, which cost a tenth and aren't counted
 // towards the store's limit, are good enough to start with. Once the store was restored
-// from a backup, a stale page may show the earlier history under the present epoch: a node
-// that accepted it would advertise revisions that stand for other writes.
+// from a backup, a stale page may show the earlier history under the present epoch: a
+// node that accepted it would advertise revisions that stand for other writes.
 //
 // A failed page is retried, and what was read is kept. Hundreds of nodes that start at
-// once request tens of pages each, many times what the store serves in a second. When
-// each refusal made them start over, none had loaded all pages after 30 s.
+// once request tens of pages each, many times what the store serves in a second. If each
+// refusal made them start over, none would have all pages within 30 s.
 func (f *Follower) load(ctx context.Context, stale bool) (d Delta, err error) {
 	d.Whole = true
 	empty, after, fails := f.Set.Position().IsZero(), "", 0
--- a/bronzerecord/set_test.go
+++ b/bronzerecord/set_test.go
@@ -132,8 +132,8 @@
 }
 
 // A node that has just started is asked for a delta by a node that is one record behind.
-// It can't know what was removed in between. When it sent all records to each node that
-// asked, that filled a slow link for a second and delayed callers' packets.
+// It can't know what was removed in between. Sending all records to each node that asks
+// would fill a slow link for a second and delay callers' packets.
 func TestSinceWithoutTombstones(t *testing.T) {
 	h := newHistory()
 	h.change("a", false)
