--- a/bronzeroute/directory.go
+++ b/bronzeroute/directory.go
@@ -9,56 +9,58 @@
 )
 
 const (
-	// MissingTimeout is how long a registration that disappeared may come back
-	// before the server counts as gone. Registrations lost in an outage are
-	// back about two seconds after it, and new flows must keep away from a
-	// server that is gone within three.
+	// MissingTimeout is how long a server whose registration disappeared is kept as Missing
+	// before it becomes Gone. Registrations lost in an outage of the store return about two
+	// seconds after it ends, and new flows must avoid a server that is gone within three
+	// seconds.
 	MissingTimeout = 2300 * time.Millisecond
-	// GoneRetention is how long a server that is gone keeps its token and
-	// address known. No flow lives longer than a minute.
+	// GoneRetention is how long the token and address of a gone server are kept. No flow lives
+	// longer than a minute.
 	GoneRetention = 75 * time.Second
-	// WithdrawnRouteRetention is how long a route that was withdrawn is remembered,
-	// so that its open flows are ended and not taken for unknown ones.
+	// WithdrawnRouteRetention is how long a withdrawn route is remembered, so that its open
+	// flows are ended rather than treated as unknown.
 	WithdrawnRouteRetention = 75 * time.Second
 )
 
-// Directory keeps the table in force and the servers. The zero Directory is
-// empty and ready. It is not safe for concurrent use; its Views are.
+// Directory holds the routing table in force and the known servers. The zero value is empty and
+// ready to use. A Directory is not safe for concurrent use; its Views are.
 type Directory struct {
 	table   *Table
 	servers map[string]*entry
-	// byName are the same by name, so that a view isn't sorted anew at each change.
+	// byName holds the same entries sorted by instance name, so that building a view needs no
+	// sort.
 	byName []*entry
-	// absent are those of servers that are missing or gone. Time changes nothing
-	// for the others, which are thousands, and it is looked at ten times a second.
+	// absent holds the entries that are missing or gone. Advance, which runs ten times a
+	// second, visits only these: time changes nothing for the thousands of others.
 	absent map[string]*entry
-	// recalled are the servers that are kept from new flows until what they said is
-	// written again.
+	// recalled holds the servers that take no new flows because of a recalled record, until
+	// their records are written again or the recall expires.
 	recalled  map[string]*entry
 	withdrawn map[netip.AddrPort]time.Time
 	zones     zones
 	tokens    *tokens
-	// last is the last view. What didn't change since is taken from it: routesStale
-	// says that routes did, stale which pools.
-	last        *View
+	// lastView is the most recent view. A new view reuses the parts of it that have not
+	// changed: routesStale reports that the routes have, stalePools names the pools that have.
+	lastView    *View
 	routesStale bool
-	stale       map[string]struct{}
+	stalePools  map[string]struct{}
 }
 
-// entry is a server with the times of its disappearance.
+// entry is a server with the state of its registration.
 type entry struct {
-	server  Server
-	missing time.Time
-	gone    time.Time
-	// recalled is until when it takes no new flows, the zero time if it does, and
-	// recalledLeaving says that it had said it leaves.
-	recalled        time.Time
-	recalledLeaving bool
-	// shown is the server as views have it, nil after a change.
-	shown *Server
+	server       Server
+	missingSince time.Time
+	goneSince    time.Time
+	// recalledUntil is when a recall expires, or the zero time if there is none. Until then the
+	// server takes no new flows. recalledDraining reports that the recalled record was
+	// draining.
+	recalledUntil    time.Time
+	recalledDraining bool
+	// cached is the server as published in views, nil after a change.
+	cached *Server
 }
 
-// SetTable puts a table in force unless it is older than the one that is.
+// SetTable puts t in force unless the current table has the same or a later version.
 func (d *Directory) SetTable(t *Table, now time.Time) (changed bool) {
 	if d.table != nil && t.Version <= d.table.Version {
 		return false
@@ -71,7 +73,7 @@
 			d.withdrawn[d.table.Routes[i].Service] = now
 		}
 		if !maps.Equal(d.table.Warmups, t.Warmups) {
-			d.touchAll()
+			d.markAllChanged()
 		}
 	}
 	for i := range t.Routes {
@@ -79,12 +81,12 @@
 	}
 	d.table = t
 	d.routesStale = true
-	d.book().retain(t)
+	d.sharedTokens().retain(t)
 	return true
 }
 
-// Register adds a server or takes in what it now says of itself. What an earlier
-// start of the server said isn't taken, however late it comes.
+// Register adds a server or updates its registration. A registration from an earlier start of
+// the server is ignored, however late it arrives.
 func (d *Directory) Register(s Server) (taken bool) {
 	if d.servers == nil {
 		d.servers = make(map[string]*entry)
@@ -99,70 +101,70 @@
 		i, _ := d.find(s.Instance)
 		d.byName = slices.Insert(d.byName, i, e)
 	}
-	d.book().add(&s)
+	d.sharedTokens().add(&s)
 	delete(d.absent, s.Instance)
-	d.touch(e)
-	e.missing, e.gone = time.Time{}, time.Time{}
-	d.release(e)
+	d.markChanged(e)
+	e.missingSince, e.goneSince = time.Time{}, time.Time{}
+	d.endRecall(e)
 	e.server = s
-	d.touch(e)
+	d.markChanged(e)
 	return true
 }
 
-// book returns the tokens that all views share.
-func (d *Directory) book() *tokens {
+// sharedTokens returns the token table that all views share.
+func (d *Directory) sharedTokens() *tokens {
 	if d.tokens == nil {
 		d.tokens = &tokens{}
 	}
 	return d.tokens
 }
 
-// find returns where a name is in byName, or would be.
+// find returns the position of a name in byName, or where it would be inserted.
 func (d *Directory) find(name string) (i int, found bool) {
 	return slices.BinarySearchFunc(d.byName, name, func(e *entry, name string) int { return strings.Compare(e.server.Instance, name) })
 }
 
-// Unregister notes that a registration has disappeared. A server that had
-// said it would leave is gone; another one is missing first.
+// Unregister records that a registration has disappeared. A server that had announced that it
+// was draining is gone at once; any other is missing first.
 func (d *Directory) Unregister(instance string, now time.Time) {
 	e := d.servers[instance]
-	if e == nil || !e.missing.IsZero() || !e.gone.IsZero() {
+	if e == nil || !e.missingSince.IsZero() || !e.goneSince.IsZero() {
 		return
 	}
 	if d.absent == nil {
 		d.absent = make(map[string]*entry)
 	}
 	d.absent[instance] = e
-	d.touch(e)
-	if e.server.Draining || e.recalledLeaving {
-		e.gone = now
+	d.markChanged(e)
+	if e.server.Draining || e.recalledDraining {
+		e.goneSince = now
 		return
 	}
-	e.missing = now
+	e.missingSince = now
 }
 
-// Advance moves missing servers to gone and forgets what is old. It reports
-// whether a View made before is out of date.
+// Advance turns missing servers into gone ones after MissingTimeout and drops expired state. It
+// reports whether earlier Views are out of date.
 func (d *Directory) Advance(now time.Time) (changed bool) {
 	for name, e := range d.absent {
 		switch {
-		case !e.gone.IsZero() && now.Sub(e.gone) > GoneRetention:
+		case !e.goneSince.IsZero() && now.Sub(e.goneSince) > GoneRetention:
 			delete(d.servers, name)
 			delete(d.absent, name)
 			i, _ := d.find(name)
 			d.byName = slices.Delete(d.byName, i, i+1)
-			d.book().remove(name)
-			d.touch(e)
+			d.sharedTokens().remove(name)
+			d.markChanged(e)
 			changed = true
-		case !e.missing.IsZero() && e.gone.IsZero() && now.Sub(e.missing) > MissingTimeout:
-			e.gone = now
-			d.touch(e)
+		case !e.missingSince.IsZero() && e.goneSince.IsZero() && now.Sub(e.missingSince) > MissingTimeout:
+			e.goneSince = now
+			d.markChanged(e)
 			changed = true
 		}
 	}
-	changed = d.releaseServers(now) || changed
-	changed = d.releaseZones(now) || changed
-	d.zones.forget(now)
+	changed = d.expireRecalls(now) || changed
+	changed = d.expireZoneDrains(now) || changed
+	d.zones.expire(now)
 	for service, at := range d.withdrawn {
 		if now.Sub(at) > WithdrawnRouteRetention {
 			delete(d.withdrawn, service)
@@ -173,33 +175,33 @@
 	return changed
 }
 
-// touch notes that a server changes, and its pool with it.
-func (d *Directory) touch(e *entry) {
-	e.shown = nil
-	if d.stale == nil {
-		d.stale = make(map[string]struct{})
+// markChanged marks a server and its pool as changed.
+func (d *Directory) markChanged(e *entry) {
+	e.cached = nil
+	if d.stalePools == nil {
+		d.stalePools = make(map[string]struct{})
 	}
-	d.stale[e.server.Pool] = struct{}{}
+	d.stalePools[e.server.Pool] = struct{}{}
 }
 
-// View returns what is known now, nil before the first table. It shares with the
-// view before what didn't change: of 5,100 servers one changes several times a
-// second while many are replaced.
+// View returns the current state, or nil before the first table. It shares everything unchanged
+// with the previous view: while many servers are replaced, one of 5,100 changes several times a
+// second.
 func (d *Directory) View() *View {
 	if d.table == nil {
 		return nil
 	}
-	v := &View{Table: d.table, DrainedZones: d.zones.names(), tokens: d.book()}
-	d.showRoutes(v)
-	d.showServers(v)
-	d.last, d.routesStale = v, false
-	clear(d.stale)
+	v := &View{Table: d.table, DrainedZones: d.zones.drainedNames(), tokens: d.sharedTokens()}
+	d.buildRoutes(v)
+	d.buildServers(v)
+	d.lastView, d.routesStale = v, false
+	clear(d.stalePools)
 	return v
 }
 
-func (d *Directory) showRoutes(v *View) {
-	if d.last != nil && !d.routesStale {
-		v.routes, v.withdrawn = d.last.routes, d.last.withdrawn
+func (d *Directory) buildRoutes(v *View) {
+	if d.lastView != nil && !d.routesStale {
+		v.routes, v.withdrawn = d.lastView.routes, d.lastView.withdrawn
 		return
 	}
 	v.routes = make(map[netip.AddrPort]*Route, len(d.table.Routes))
@@ -212,22 +214,22 @@
 	}
 }
 
-func (d *Directory) showServers(v *View) {
+func (d *Directory) buildServers(v *View) {
 	v.Servers = make([]*Server, len(d.byName))
 	for i, e := range d.byName {
-		v.Servers[i] = d.show(e)
+		v.Servers[i] = d.serverView(e)
 	}
 	v.pools = make(map[string][]*Server)
-	if d.last != nil {
-		maps.Copy(v.pools, d.last.pools)
+	if d.lastView != nil {
+		maps.Copy(v.pools, d.lastView.pools)
 	}
-	d.showPools(v)
+	d.buildPools(v)
 }
 
-// showPools puts together the servers of the pools that changed.
-func (d *Directory) showPools(v *View) {
-	changed := make(map[string][]*Server, len(d.stale))
-	for name := range d.stale {
+// buildPools rebuilds the server lists of the pools that changed.
+func (d *Directory) buildPools(v *View) {
+	changed := make(map[string][]*Server, len(d.stalePools))
+	for name := range d.stalePools {
 		changed[name] = make([]*Server, 0, len(v.pools[name])+1)
 		delete(v.pools, name)
 	}
@@ -246,27 +248,28 @@
 	}
 }
 
-// show returns the server as views have it, which nobody changes.
-func (d *Directory) show(e *entry) *Server {
-	if e.shown == nil {
+// serverView returns the server as published in views. The result must not be modified.
+func (d *Directory) serverView(e *entry) *Server {
+	if e.cached == nil {
 		s := e.server
-		s.ZoneDrained, s.ZoneUndrainedAt = d.zones.of(s.AvailabilityZone)
+		s.ZoneDrained, s.ZoneUndrainedAt = d.zones.state(s.AvailabilityZone)
 		s.Status = e.status(s.ZoneDrained)
 		s.Warmup = d.table.Warmups[s.Pool]
-		e.shown = &s
+		e.cached = &s
 	}
-	return e.shown
+	return e.cached
 }
 
-// status returns the server's status. A missing one of a drained zone, or one that leaves, is
-// draining: missing servers take new flows where no other can, those never.
+// status returns the server's status. A missing server is reported as draining if it or its
+// zone is being drained: missing servers may take new flows as a last resort, draining ones
+// never do.
 func (e *entry) status(zoneDrained bool) Status {
 	switch {
-	case !e.gone.IsZero():
+	case !e.goneSince.IsZero():
 		return Gone
-	case zoneDrained, e.server.Draining, !e.recalled.IsZero():
+	case zoneDrained, e.server.Draining, !e.recalledUntil.IsZero():
 		return Draining
-	case !e.missing.IsZero():
+	case !e.missingSince.IsZero():
 		return Missing
 	default:
 		return Serving
--- a/bronzeroute/directory_test.go
+++ b/bronzeroute/directory_test.go
@@ -136,9 +136,9 @@
 	v := d.View()
 	for i := range endpoints {
 		require.Nil(t, v.ByToken(service(i), 12345))
-		require.LessOrEqual(t, d.tokens.wide, maxWide)
+		require.LessOrEqual(t, d.tokens.allCount, maxAllTokens)
 	}
-	d.tokens.searches = rate.NewLimiter(rate.Inf, 1)
+	d.tokens.searchLimiter = rate.NewLimiter(rate.Inf, 1)
 	last := service(endpoints - 1)
 	token := v.Token(last, v.ByName("s-77"))
 	require.NotZero(t, token)
@@ -179,7 +179,7 @@
 	for i := range 5100 {
 		d.Register(server(fmt.Sprint("s-", i), "b"))
 	}
-	d.tokens.searches = rate.NewLimiter(rate.Inf, 1)
+	d.tokens.searchLimiter = rate.NewLimiter(rate.Inf, 1)
 	for b.Loop() {
 		d.tokens.search(live, 12345)
 	}
--- a/bronzeroute/recall.go
+++ b/bronzeroute/recall.go
@@ -2,103 +2,105 @@
 
 import "time"
 
-// RecallServer takes in what was last known of a server before its registration was lost: the store
-// came back from a copy. What the copy says counts for less until the server has registered
-// again, or until the given time. A server that said it leaves would get new flows otherwise.
-// absent says that the copy doesn't have the server. changed is false if the copy says as much.
+// RecallServer applies the last known record of a server after the store lost it because it was
+// restored from a backup. absent reports that the backup has no record of the server; the
+// server is then missing. If the backup has an older record, the recalled one takes precedence
+// until the server registers again or until the given time. Otherwise a draining server would
+// get new flows. changed is false if the backup's record says the same.
 func (d *Directory) RecallServer(s Server, absent bool, now, until time.Time) (changed bool) {
 	e := d.servers[s.Instance]
 	switch {
-	case e != nil && e.gone.Before(now) && !e.gone.IsZero():
-		// It was over before the store fell back.
+	case e != nil && e.goneSince.Before(now) && !e.goneSince.IsZero():
+		// The server was gone before the restore.
 		return false
 	case absent:
-		if e == nil || s.wroteAfter(&e.server) {
+		if e == nil || s.isNewerThan(&e.server) {
 			d.Register(s)
 		}
-		d.lose(d.servers[s.Instance], now)
+		d.markMissing(d.servers[s.Instance], now)
 	case e == nil:
-		// What the copy has of it names no server.
+		// The backup's record could not be decoded as a server.
 		return false
 	case s.StartedAt.After(e.server.StartedAt):
 		d.Register(s)
-	case s.Draining && !e.server.Draining && !e.server.wroteAfter(&s):
-		d.hold(e, until, true)
+	case s.Draining && !e.server.Draining && !e.server.isNewerThan(&s):
+		d.drainUntil(e, until, true)
 	default:
 		return false
 	}
 	return true
 }
 
-// RecallRemoved does the same for a server whose registration had been removed. The copy brings it
-// back; it lapses again unless the server lives.
+// RecallRemoved handles a server whose registration had been removed and is back because the
+// store was restored from a backup. The server takes no new flows until the given time. Its
+// registration lapses again unless the server is alive.
 func (d *Directory) RecallRemoved(instance string, until time.Time) (changed bool) {
 	e := d.servers[instance]
-	if e == nil || !e.gone.IsZero() {
+	if e == nil || !e.goneSince.IsZero() {
 		return false
 	}
-	d.hold(e, until, false)
+	d.drainUntil(e, until, false)
 	return true
 }
 
-// lose has a server be missing that lives as far as is known. Also one that leaves is missing
-// first: what it said is lost, its flows aren't.
-func (d *Directory) lose(e *entry, now time.Time) {
+// markMissing marks a server as missing. A draining server is missing first as well, not gone
+// at once: only its record was lost, its flows may still be open.
+func (d *Directory) markMissing(e *entry, now time.Time) {
 	if d.absent == nil {
 		d.absent = make(map[string]*entry)
 	}
 	d.absent[e.server.Instance] = e
-	e.missing, e.gone = now, time.Time{}
-	d.touch(e)
+	e.missingSince, e.goneSince = now, time.Time{}
+	d.markChanged(e)
 }
 
-// hold keeps new flows away from a server until a time.
-func (d *Directory) hold(e *entry, until time.Time, leaving bool) {
+// drainUntil keeps new flows away from a server until the given time.
+func (d *Directory) drainUntil(e *entry, until time.Time, draining bool) {
 	if d.recalled == nil {
 		d.recalled = make(map[string]*entry)
 	}
 	d.recalled[e.server.Instance] = e
-	e.recalled, e.recalledLeaving = until, leaving || e.recalledLeaving
-	d.touch(e)
+	e.recalledUntil, e.recalledDraining = until, draining || e.recalledDraining
+	d.markChanged(e)
 }
 
-// release ends that.
-func (d *Directory) release(e *entry) {
-	if e.recalled.IsZero() {
+// endRecall ends a server's recall.
+func (d *Directory) endRecall(e *entry) {
+	if e.recalledUntil.IsZero() {
 		return
 	}
 	delete(d.recalled, e.server.Instance)
-	e.recalled, e.recalledLeaving = time.Time{}, false
-	d.touch(e)
+	e.recalledUntil, e.recalledDraining = time.Time{}, false
+	d.markChanged(e)
 }
 
-// releaseServers ends it for the servers whose time has come.
-func (d *Directory) releaseServers(now time.Time) (changed bool) {
+// expireRecalls ends the recalls whose time has passed.
+func (d *Directory) expireRecalls(now time.Time) (changed bool) {
 	for _, e := range d.recalled {
-		if !now.Before(e.recalled) {
-			d.release(e)
+		if !now.Before(e.recalledUntil) {
+			d.endRecall(e)
 			changed = true
 		}
 	}
 	return changed
 }
 
-// wroteAfter reports whether s is a later word of the same server than other.
-func (s *Server) wroteAfter(other *Server) bool {
+// isNewerThan reports whether s was written after other, a record of the same server.
+func (s *Server) isNewerThan(other *Server) bool {
 	return s.StartedAt.After(other.StartedAt) || s.StartedAt.Equal(other.StartedAt) && s.Sequence > other.Sequence
 }
 
-// RecallZone keeps an AvailabilityZone drained whose drain was lost, until it is drained again,
-// returned, or the given time.
+// RecallZone keeps an AvailabilityZone drained whose drain record was lost, until it is drained
+// again or undrained, or until the given time.
 func (d *Directory) RecallZone(zone string, until time.Time) (changed bool) {
-	before, known := d.zones.drained[zone]
-	d.drain(zone, until)
+	before, known := d.zones.drainedUntil[zone]
+	d.drainZoneUntil(zone, until)
 	return !known || !before.Equal(until)
 }
 
-// releaseZones returns the zones that nobody has drained again in time.
-func (d *Directory) releaseZones(now time.Time) (changed bool) {
-	for zone, until := range d.zones.drained {
+// expireZoneDrains undrains the zones whose recalled drain has expired.
+func (d *Directory) expireZoneDrains(now time.Time) (changed bool) {
+	for zone, until := range d.zones.drainedUntil {
 		if !until.IsZero() && !now.Before(until) {
 			changed = d.UndrainZone(zone, now) || changed
 		}
--- a/bronzeroute/zones.go
+++ b/bronzeroute/zones.go
@@ -6,83 +6,84 @@
 	"time"
 )
 
-// rememberReturn is how long the return of a drained zone is remembered. It is over what
-// servers take to start.
-const rememberReturn = 5 * time.Minute
+// undrainRetention is how long the end of a zone's drain is remembered. It exceeds the time
+// that servers take to start.
+const undrainRetention = 5 * time.Minute
 
-// zones are the AvailabilityZones that are drained, and when others were returned. The zero
-// zones has none of either.
+// zones holds the drained AvailabilityZones and when the drains of others ended. The zero value
+// is empty and ready to use.
 type zones struct {
-	// drained tells until when, the zero time if until its return.
-	drained  map[string]time.Time
-	returned map[string]time.Time
+	// drainedUntil maps each drained zone to when its drain expires, the zero time if only
+	// UndrainZone ends it.
+	drainedUntil map[string]time.Time
+	undrainedAt  map[string]time.Time
 }
 
-// DrainZone keeps new flows away from the servers of an AvailabilityZone until ReturnZone.
-// Open flows stay.
+// DrainZone keeps new flows away from the servers of an AvailabilityZone until UndrainZone.
+// Open flows continue.
 func (d *Directory) DrainZone(zone string) (changed bool) {
-	_, known := d.zones.drained[zone]
-	d.drain(zone, time.Time{})
+	_, known := d.zones.drainedUntil[zone]
+	d.drainZoneUntil(zone, time.Time{})
 	return !known
 }
 
-// drain has a zone drained until a time, or its return for the zero time.
-func (d *Directory) drain(zone string, until time.Time) {
-	if d.zones.drained == nil {
-		d.zones.drained = make(map[string]time.Time)
+// drainZoneUntil drains a zone until the given time, or until UndrainZone if it is zero.
+func (d *Directory) drainZoneUntil(zone string, until time.Time) {
+	if d.zones.drainedUntil == nil {
+		d.zones.drainedUntil = make(map[string]time.Time)
 	}
-	if _, known := d.zones.drained[zone]; !known {
-		d.touchZone(zone)
+	if _, known := d.zones.drainedUntil[zone]; !known {
+		d.markZoneChanged(zone)
 	}
-	d.zones.drained[zone] = until
+	d.zones.drainedUntil[zone] = until
 }
 
 // UndrainZone ends the drain of an AvailabilityZone at now.
 func (d *Directory) UndrainZone(zone string, now time.Time) (changed bool) {
-	if _, known := d.zones.drained[zone]; !known {
+	if _, known := d.zones.drainedUntil[zone]; !known {
 		return false
 	}
-	if d.zones.returned == nil {
-		d.zones.returned = make(map[string]time.Time)
+	if d.zones.undrainedAt == nil {
+		d.zones.undrainedAt = make(map[string]time.Time)
 	}
-	delete(d.zones.drained, zone)
-	d.zones.returned[zone] = now
-	d.touchZone(zone)
+	delete(d.zones.drainedUntil, zone)
+	d.zones.undrainedAt[zone] = now
+	d.markZoneChanged(zone)
 	return true
 }
 
-// touchZone notes that the servers of a zone change.
-func (d *Directory) touchZone(zone string) {
+// markZoneChanged marks all servers of a zone as changed.
+func (d *Directory) markZoneChanged(zone string) {
 	for _, e := range d.byName {
 		if e.server.AvailabilityZone == zone {
-			d.touch(e)
+			d.markChanged(e)
 		}
 	}
 }
 
-// touchAll notes that all servers change.
-func (d *Directory) touchAll() {
+// markAllChanged marks all servers as changed.
+func (d *Directory) markAllChanged() {
 	for _, e := range d.byName {
-		d.touch(e)
+		d.markChanged(e)
 	}
 }
 
-// of returns whether a zone is drained, and when it was last returned.
-func (z *zones) of(zone string) (drained bool, returned time.Time) {
-	_, drained = z.drained[zone]
-	return drained, z.returned[zone]
+// state reports whether a zone is drained, and when its last drain ended.
+func (z *zones) state(zone string) (drained bool, undrainedAt time.Time) {
+	_, drained = z.drainedUntil[zone]
+	return drained, z.undrainedAt[zone]
 }
 
-// names returns the drained zones in order, nil if there is none.
-func (z *zones) names() []string {
-	return slices.Sorted(maps.Keys(z.drained))
+// drainedNames returns the sorted names of the drained zones, nil if there are none.
+func (z *zones) drainedNames() []string {
+	return slices.Sorted(maps.Keys(z.drainedUntil))
 }
 
-// forget drops the returns that are long ago.
-func (z *zones) forget(now time.Time) {
-	for zone, at := range z.returned {
-		if now.Sub(at) > rememberReturn {
-			delete(z.returned, zone)
+// expire drops the ends of drains that are older than undrainRetention.
+func (z *zones) expire(now time.Time) {
+	for zone, at := range z.undrainedAt {
+		if now.Sub(at) > undrainRetention {
+			delete(z.undrainedAt, zone)
 		}
 	}
 }
--- a/bronzeroute/zones_test.go
+++ b/bronzeroute/zones_test.go
@@ -88,6 +88,6 @@
 	var d Directory
 	d.DrainZone("x")
 	d.UndrainZone("x", begin)
-	d.Advance(begin.Add(rememberReturn + 1))
-	require.Empty(t, d.zones.returned)
+	d.Advance(begin.Add(undrainRetention + 1))
+	require.Empty(t, d.zones.undrainedAt)
 }
