--- a/bronzeroute/server.go
+++ b/bronzeroute/server.go
@@ -6,20 +6,20 @@
 	"bronzeusher.example/bronzeusher/bronzeconf"
 )
 
-// Status is how far a server's registration is to be believed.
+// Status is the state of a server's registration.
 type Status uint8
 
 const (
 	// Serving servers take new flows.
 	Serving Status = iota
-	// Draining servers keep their flows and take no new ones: they leave, or their
+	// Draining servers keep their flows and take no new ones: they are leaving, or their
 	// AvailabilityZone is drained.
 	Draining
-	// Missing servers were registered until just now and never said that they
-	// would leave. They keep their flows, and take new ones only where no
-	// other server of the pool can.
+	// Missing servers were registered until just now and never announced that they were
+	// draining. They keep their flows, and take new ones only if no other server of the pool
+	// can.
 	Missing
-	// Gone servers are no more.
+	// Gone servers no longer exist.
 	Gone
 )
 
@@ -38,38 +38,38 @@
 	bronzeconf.BackendServer
 	// Pool is the name of the pool that it serves.
 	Pool string
-	// Incarnation is the number that the server checks on each packet, which
-	// keeps a packet from a later user of its address.
+	// Incarnation is the number that the server checks on each packet, so that a packet is not
+	// accepted by a later user of its address.
 	Incarnation uint64
-	// RegisteredRevision is the revision at which it first registered.
+	// RegisteredRevision is the store revision at which it first registered.
 	RegisteredRevision uint64
-	// StartedAt is when it started, by its own clock, the zero time if it doesn't tell. A
-	// BackendServer may start again under its name: it then has none of the flows that
-	// it had.
+	// StartedAt is when it started, by its own clock, or the zero time if it doesn't report
+	// that. A BackendServer may restart under the same name; it has then lost all its flows.
 	StartedAt time.Time
-	// WarmupLeft is how much longer it is slow, counted from Heard.
+	// WarmupLeft is how much longer it is warming up, counted from ReceivedAt, the time at
+	// which the registration was received.
 	WarmupLeft time.Duration
 	ReceivedAt time.Time
-	// Draining says that it announced to leave.
+	// Draining reports that the server has announced that it is leaving.
 	Draining bool
-	// Sequence counts what the server wrote since its start.
+	// Sequence counts the server's writes since its start.
 	Sequence uint64
 
-	// The Directory sets what follows.
+	// The Directory sets the fields below.
 
-	// Status is how far the registration is to be believed.
+	// Status is the state of the registration.
 	Status Status
-	// ZoneDrained says that its AvailabilityZone takes no new flows, and ZoneReturned
-	// when that last ended, the zero time if it never did.
+	// ZoneDrained reports that its AvailabilityZone takes no new flows. ZoneUndrainedAt is when
+	// the zone's last drain ended, or the zero time if none is remembered.
 	ZoneDrained     bool
 	ZoneUndrainedAt time.Time
-	// Warmup is what its pool's servers bear after a start.
+	// Warmup is the warm-up of the servers in its pool.
 	Warmup Warmup
 }
 
-// Warm reports whether the server has passed its slow start. After its zone's return
-// it counts as cold for as long as a start takes: it may have started just before, and
-// its registration that says so come later than the return does.
+// Warm reports whether the server has finished its warm-up. After its zone is undrained it
+// counts as cold for one warm-up: it may have restarted just before, and the registration that
+// says so may arrive after the end of the drain.
 func (s *Server) Warm(now time.Time) bool {
 	if !s.ZoneUndrainedAt.IsZero() && now.Sub(s.ZoneUndrainedAt) < s.Warmup.Duration {
 		return false
--- a/bronzeroute/table.go
+++ b/bronzeroute/table.go
@@ -7,32 +7,32 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// WeightedPool is one pool of a route and its weight among the route's pools.
+// WeightedPool is a pool of a route with its weight relative to the route's other pools.
 type WeightedPool struct {
 	Pool   string
 	Weight int
 }
 
-// Route says where new flows to one address and port go.
+// Route directs the new flows of one service address and port to pools.
 type Route struct {
 	Name    string
 	Service netip.AddrPort
-	// Customer is whose service it is. What it uses of a node is bounded so that
-	// others have room.
+	// Customer is the owner of the service. Its use of a node is bounded so that other
+	// Customers have room.
 	Customer string
 	Pools    []WeightedPool
-	// Idempotent says that callers repeat the requests in these flows after
-	// any failure, so that ending a flow early loses nothing.
+	// Idempotent reports that callers repeat the requests of these flows after any failure, so
+	// that ending a flow early loses nothing.
 	Idempotent bool
 	// Priority orders routes when not all can be served, 0 first.
 	Priority int
-	// Timeout is how long one request may take, Objective how long it should.
+	// Timeout is the maximum duration of a request, Objective the target.
 	Timeout   time.Duration
 	Objective time.Duration
 }
 
-// HasPool reports whether the route names the pool, whatever its weight: a
-// weight that fell to 0 keeps new flows away but doesn't end open ones.
+// HasPool reports whether the route names the pool, whatever its weight: a weight of 0 keeps
+// new flows away but doesn't end open ones.
 func (r *Route) HasPool(pool string) bool {
 	for i := range r.Pools {
 		if r.Pools[i].Pool == pool {
@@ -42,9 +42,9 @@
 	return false
 }
 
-// Pick returns the pool for a flow with the given hash, in proportion to the
-// weights. Copies of one opening have one hash, so they pick one pool on every
-// node. ok is false if no pool has a weight.
+// Pick returns the pool for a flow with the given hash, in proportion to the weights. All
+// retransmissions of an opening have the same hash, so every node picks the same pool for them.
+// ok is false if no pool has a weight above 0.
 func (r *Route) Pick(hash uint64) (pool string, ok bool) {
 	total := 0
 	for i := range r.Pools {
@@ -64,29 +64,28 @@
 	return "", false
 }
 
-// pickSalt is any number that no other use of Mix has.
+// pickSalt must differ from the salts of all other uses of Mix.
 const pickSalt = 0x706f6f6c
 
-// Warmup is what the servers of a pool bear after a start.
+// Warmup describes the warm-up of a pool's servers after a start.
 type Warmup struct {
-	// Duration is how long a start takes.
+	// Duration is how long a warm-up takes.
 	Duration time.Duration
-	// RequestsPerSecond is how many requests a second one server may get meanwhile, of all nodes
-	// together; 0 if no limit is told.
+	// RequestsPerSecond is the request rate that one server may get during it from all nodes
+	// together, 0 if no limit is given.
 	RequestsPerSecond float64
 }
 
 // Table is one published version of the routes.
 type Table struct {
-	// Version grows with each publication, in uneven steps.
+	// Version increases with each publication, not necessarily by 1.
 	Version uint64
 	Routes  []Route
-	// Warmups are those of the pools that tell any.
+	// Warmups holds the warm-ups by pool; pools without one are absent.
 	Warmups map[string]Warmup
-	// IdleTimeout is how long a flow may be silent before it may be
-	// forgotten, 0 for no limit.
+	// IdleTimeout is how long a flow may be idle before it may be forgotten, 0 for no limit.
 	IdleTimeout time.Duration
-	// Refusals are the parts of the publication that are left out, one line
-	// each that names the field.
+	// Refusals lists the parts of the publication that were left out, one line each that names
+	// the field.
 	Refusals []string
 }
