--- a/bronzeroute/seed_test.go
+++ b/bronzeroute/seed_test.go
@@ -6,8 +6,8 @@
 	_ "pgregory.net/rapid" // registers the flag
 )
 
-// The properties draw the same values on every run, so that a run's verdict
-// says something about the code and not about the draw.
+// Property tests use a fixed seed, so that a change of their result comes from the code and not
+// from the drawn values.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
--- a/bronzetoken/token.go
+++ b/bronzetoken/token.go
@@ -1,20 +1,17 @@
-// Package bronzetoken gives each BackendServer a number of 32 bits for each
-// endpoint that it serves, which packets can carry in place of a memory of
-// their flow.
+// Package bronzetoken gives each BackendServer a 32-bit token for each endpoint that it serves.
+// Packets carry the token, so that nodes need not remember which server a flow is on.
 //
-// A node that places a flow writes the token into the opening; the ends send
-// it back in every later packet, and any node finds the server by it. A token
-// must therefore mean the same server on every node, though nodes hear of
-// servers at different times. It is a hash of the server's name and the
-// endpoint. Where two names have one hash, the server that registered later
-// uses its next hash, so a server that keeps its flows keeps its token. The first
-// two hashes of a server are understood as long as no other server uses them,
-// which covers nodes that have not heard of the earlier server, or have
-// forgotten it.
+// The node that places a flow writes the token into the opening; both ends return it in every
+// later packet, and any node finds the server by it. A token must therefore identify the same
+// server on every node, although nodes learn of servers at different times. It is a hash of the
+// server's name and the endpoint. If two names have the same hash, the server that registered
+// later uses its next hash, so that a server that keeps its flows keeps its token. The first
+// two hashes of a server identify it as long as no other server uses them. This covers nodes
+// that do not know the earlier server yet, or have forgotten it.
 //
-// Servers' names are known to nodes alone. So who sends a token for an
-// endpoint has it from a flow that some node placed: the token of another
-// endpoint is no token here, and nobody can make one up.
+// Only nodes know the servers' names. Whoever sends a token for an endpoint therefore has it
+// from a flow that a node placed: a token of another endpoint is not valid, and clients cannot
+// compute one.
 //
 // Zero is never a token: openings carry it.
 //
@@ -32,42 +29,39 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// tries is how many hashes a name has, and spares how many of them are
-// understood where the name uses another. Of 5,100 servers two share their first
-// with a chance of 0.3%; that one of them finds its second taken too is a
-// matter of one in 250 million.
+// hashCount is how many hashes a name has. The first aliasCount of them identify it even if its
+// token is another one. Of 5,100 servers, two share their first hash with a probability of
+// 0.3%; that the second hash of one of them is taken as well has a probability of one in 250
+// million.
 const (
-	tries  = 4
-	spares = 2
+	hashCount  = 4
+	aliasCount = 2
 )
 
 // Holder is a server that has a token.
 type Holder struct {
 	Name string
-	// Since orders holders by age: who came first keeps a contested token.
+	// Since orders holders by age: of holders with the same hash, the oldest uses it.
 	Since uint64
 }
 
-// Set is the tokens of a set of servers for one endpoint. It is not safe for
-// concurrent use.
+// Set holds the tokens of a set of servers for one endpoint. It is not safe for concurrent use.
 type Set struct {
 	tokens map[string]uint32
 	names  map[uint32]string
-	// Collisions is how many holders don't have the first hash of their name.
+	// Collisions is the number of holders whose token isn't the first hash of their name.
 	Collisions int
 
 	endpoint string
 	hash     func(endpoint, name string, try int) uint32
-	// since is when each holder came, and contested says that two of them have a
-	// hash in common, or one has a hash of zero, so that who has which token
-	// depends on all.
-	since     map[string]uint64
-	contested bool
+	// since holds the Since of each holder. hasConflict reports that two holders have a hash in
+	// common or that a hash is zero, so that a token may depend on all holders.
+	since       map[string]uint64
+	hasConflict bool
 }
 
-// NewSet returns the tokens of the holders. It depends on nothing else, so
-// nodes that know the same holders have the same tokens, in whatever order
-// they heard of them.
+// NewSet returns the tokens of the holders. They depend on nothing else, so nodes that know the
+// same holders have the same tokens, whatever the order in which they learned of them.
 func NewSet(endpoint string, holders []Holder) *Set {
 	return newSet(endpoint, holders, hash)
 }
@@ -81,9 +75,9 @@
 	return s
 }
 
-// Add adds a holder, or takes in that it came at another time. The tokens are
-// then those of a set made anew: of thousands of holders one takes a microsecond,
-// and all of them take a millisecond, for which packets would wait at each change.
+// Add adds a holder, or updates its Since. The result is the same as that of NewSet with all
+// holders. Adding one to thousands takes a microsecond without a conflict; rebuilding takes a
+// millisecond, which would delay packets on each change.
 func (s *Set) Add(h Holder) {
 	if since, known := s.since[h.Name]; known {
 		if since == h.Since {
@@ -92,12 +86,12 @@
 		s.Remove(h.Name)
 	}
 	s.since[h.Name] = h.Since
-	if s.contested || s.contests(h.Name) {
+	if s.hasConflict || s.conflicts(h.Name) {
 		s.rebuild()
 		return
 	}
 	s.assign(h.Name)
-	s.addSpares(h.Name)
+	s.addAliases(h.Name)
 }
 
 // Remove removes a holder.
@@ -106,20 +100,21 @@
 		return
 	}
 	delete(s.since, name)
-	if s.contested {
+	if s.hasConflict {
 		s.rebuild()
 		return
 	}
 	delete(s.tokens, name)
-	for try := range spares {
+	for try := range aliasCount {
 		delete(s.names, s.hash(s.endpoint, name, try))
 	}
 }
 
-// contests reports whether a name's hashes are those of other holders, or zero.
-// Where none is, no other holder's token depends on it, nor its own on theirs.
-func (s *Set) contests(name string) bool {
-	for try := range spares {
+// conflicts reports whether one of a name's aliases is taken, zero, or a duplicate of the
+// other. If none is, the tokens of the other holders don't depend on this one, nor its own on
+// theirs.
+func (s *Set) conflicts(name string) bool {
+	for try := range aliasCount {
 		token := s.hash(s.endpoint, name, try)
 		if _, taken := s.names[token]; taken || token == 0 {
 			return true
@@ -131,11 +126,11 @@
 	return false
 }
 
-// rebuild makes the tokens of all holders.
+// rebuild computes the tokens of all holders.
 func (s *Set) rebuild() {
 	s.tokens = make(map[string]uint32, len(s.since))
-	s.names = make(map[uint32]string, spares*len(s.since))
-	s.Collisions, s.contested = 0, false
+	s.names = make(map[uint32]string, aliasCount*len(s.since))
+	s.Collisions, s.hasConflict = 0, false
 	sorted := make([]Holder, 0, len(s.since))
 	for name, since := range s.since {
 		sorted = append(sorted, Holder{Name: name, Since: since})
@@ -144,18 +139,18 @@
 		return cmp.Or(cmp.Compare(a.Since, b.Since), cmp.Compare(a.Name, b.Name))
 	})
 	for _, h := range sorted {
-		s.contested = s.contested || s.contests(h.Name)
+		s.hasConflict = s.hasConflict || s.conflicts(h.Name)
 		s.assign(h.Name)
 	}
 	for _, h := range sorted {
-		s.addSpares(h.Name)
+		s.addAliases(h.Name)
 	}
-	s.contested = s.contested || len(s.names) != spares*len(sorted)
+	s.hasConflict = s.hasConflict || len(s.names) != aliasCount*len(sorted)
 }
 
 // assign gives name its first free hash.
 func (s *Set) assign(name string) {
-	for try := range tries {
+	for try := range hashCount {
 		token := s.hash(s.endpoint, name, try)
 		if _, taken := s.names[token]; taken || token == 0 {
 			continue
@@ -170,10 +165,10 @@
 	s.Collisions++
 }
 
-// addSpares makes the first two hashes of name mean it where they are free:
-// those that a node may use for it that knows fewer servers.
-func (s *Set) addSpares(name string) {
-	for try := range spares {
+// addAliases maps the first hashes of name to it where they are free. A node that knows fewer
+// servers may use one of them as the token.
+func (s *Set) addAliases(name string) {
+	for try := range aliasCount {
 		token := s.hash(s.endpoint, name, try)
 		if _, taken := s.names[token]; !taken && token != 0 {
 			s.names[token] = name
@@ -181,13 +176,13 @@
 	}
 }
 
-// Len returns how many holders there are.
+// Len returns the number of holders.
 func (s *Set) Len() int { return len(s.since) }
 
-// MayMatch reports whether a token is one of the first two hashes of a name, of
-// which it then has one or, where both are contested, neither.
+// MayMatch reports whether a token is not 0 and one of the first two hashes of a name. Such a
+// token may still identify another holder with the same hash.
 func MayMatch(endpoint, name string, token uint32) bool {
-	for try := range spares {
+	for try := range aliasCount {
 		if hash(endpoint, name, try) == token {
 			return token != 0
 		}
@@ -200,14 +195,13 @@
 	return s.tokens[name]
 }
 
-// Name returns the name that a token stands for.
+// Name returns the name that a token identifies.
 func (s *Set) Name(token uint32) (name string, ok bool) {
 	name, ok = s.names[token]
 	return name, ok
 }
 
-// hash returns the try-th hash of a name, the same in every process and
-// release.
+// hash returns the try-th hash of a name. It must be the same in every process and release.
 func hash(endpoint, name string, try int) uint32 {
 	var d xxhash.Digest
 	d.ResetWithSeed(uint64(try))
@@ -218,5 +212,5 @@
 	return uint32(sum>>32) ^ uint32(sum)
 }
 
-// separator keeps a name that ends like an endpoint begins from another's hash.
+// separator keeps different pairs of a name and an endpoint from having the same concatenation.
 const separator = "\x00"
--- a/bronzetoken/token_test.go
+++ b/bronzetoken/token_test.go
@@ -9,10 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-// narrow is a hash with few values, so that names collide.
+// narrow is a hash with 64 values, so that names collide.
 func narrow(endpoint, name string, try int) uint32 { return hash(endpoint, name, try) % 64 }
 
-// constant makes the first hashes of all names one, and the second ones differ.
+// constant gives all names the same first hash and different second ones.
 func constant(_, name string, try int) uint32 {
 	if try == 0 {
 		return 5
@@ -20,10 +20,10 @@
 	return 100 + uint32(name[len(name)-1])
 }
 
-// A flow is on host a when host b registers, whose token would be the same.
-// If b took it, every node would send a's flow to b, which resets it. The
-// older server keeps the token on all nodes, whatever they heard first.
-func TestOlderServerKeepsAContestedToken(t *testing.T) {
+// A flow is on host a when host b registers, whose first hash is the same. If b took over the
+// token, every node would send a's flow to b, which resets it. The older server must keep the
+// token on all nodes, whatever the order in which they learned of the two.
+func TestNewSetOlderHolderKeepsToken(t *testing.T) {
 	before := newSet("e", []Holder{{"a", 1}}, constant)
 	after := newSet("e", []Holder{{"b", 2}, {"a", 1}}, constant)
 	require.Equal(t, before.Token("a"), after.Token("a"))
@@ -31,10 +31,9 @@
 	require.Equal(t, 1, after.Collisions)
 }
 
-// A node that has not heard of the older of two colliding servers places a
-// flow on the younger one under its second token, as all others would; a node
-// that has forgotten the older one still finds the younger by that token.
-func TestTokensOutliveTheOtherServer(t *testing.T) {
+// A node that doesn't know the older of two colliding servers, or has forgotten it, must still
+// find the younger one by its second hash, which other nodes use as its token.
+func TestNameWithoutCollidingHolder(t *testing.T) {
 	both := newSet("e", []Holder{{"a", 1}, {"b", 2}}, constant)
 	alone := newSet("e", []Holder{{"b", 2}}, constant)
 	name, ok := alone.Name(both.Token("b"))
@@ -42,7 +41,7 @@
 	require.Equal(t, "b", name)
 }
 
-func TestZeroIsNoToken(t *testing.T) {
+func TestZeroToken(t *testing.T) {
 	zeroFirst := func(_, _ string, try int) uint32 { return uint32(try) }
 	s := newSet("e", []Holder{{"a", 1}}, zeroFirst)
 	require.NotZero(t, s.Token("a"))
@@ -50,7 +49,7 @@
 	require.False(t, ok)
 }
 
-func TestTokensAreThoseOfOneEndpoint(t *testing.T) {
+func TestNameOtherEndpoint(t *testing.T) {
 	var holders []Holder
 	for i := range 5100 {
 		holders = append(holders, Holder{Name: fmt.Sprintf("host-%d", i), Since: uint64(i)})
@@ -62,7 +61,7 @@
 		require.True(t, ok)
 		require.Equal(t, h.Name, name)
 		_, ok = there.Name(here.Token(h.Name))
-		require.False(t, ok, "a token means nothing at another endpoint")
+		require.False(t, ok, "token of another endpoint")
 	}
 }
 
@@ -79,7 +78,7 @@
 				oldest = i
 			}
 		}
-		for try := range tries {
+		for try := range hashCount {
 			if token := hash("e", left[oldest].Name, try); !taken[token] {
 				taken[token] = true
 				tokens[left[oldest].Name] = token
@@ -91,7 +90,7 @@
 	return tokens
 }
 
-func TestSetIsTheNaiveOneInAnyOrder(t *testing.T) {
+func TestNewSetMatchesNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 20).Draw(t, "holders")
 		holders := make([]Holder, n)
@@ -111,10 +110,10 @@
 	})
 }
 
-// Holders come and go one by one. Whatever came before, the tokens are those of a
-// set of the same holders made anew, with hashes that are all contested and with
-// such as are real: nodes that heard of other servers before must agree.
-func TestChangedSetIsAsOneMadeAnew(t *testing.T) {
+// Holders are added and removed one by one. Whatever came before, the tokens must be those of a
+// new set of the same holders, since nodes with different histories must agree. Checked with
+// hashes that collide often, rarely and as in production.
+func TestAddRemoveMatchesNewSet(t *testing.T) {
 	wide := func(endpoint, name string, try int) uint32 { return hash(endpoint, name, try) % 4096 }
 	hashes := map[string]func(string, string, int) uint32{"narrow": narrow, "wide": wide, "real": hash}
 	for kind, hash := range hashes {
@@ -139,10 +138,10 @@
 						for n, since := range holders {
 							list = append(list, Holder{Name: n, Since: since})
 						}
-						anew := newSet("e", list, hash)
-						require.Equal(t, anew.tokens, s.tokens)
-						require.Equal(t, anew.names, s.names)
-						require.Equal(t, anew.Collisions, s.Collisions)
+						fresh := newSet("e", list, hash)
+						require.Equal(t, fresh.tokens, s.tokens)
+						require.Equal(t, fresh.names, s.names)
+						require.Equal(t, fresh.Collisions, s.Collisions)
 					},
 				})
 			})
@@ -150,8 +149,8 @@
 	}
 }
 
-// Looking for one token among all names must lead to those that a set has it for.
-func TestMayStandForNamesASetHas(t *testing.T) {
+// A search for one token among all names must find those that a set maps it to.
+func TestMayMatch(t *testing.T) {
 	var holders []Holder
 	for i := range 500 {
 		holders = append(holders, Holder{Name: fmt.Sprintf("host-%d", i), Since: uint64(i)})
