--- a/bronzeroute/directory_test.go
+++ b/bronzeroute/directory_test.go
@@ -34,7 +34,7 @@
 	return r
 }
 
-func TestTablesNeverGoBack(t *testing.T) {
+func TestSetTableIgnoresOlderVersions(t *testing.T) {
 	var d Directory
 	require.True(t, d.SetTable(table(7, route(live, "a")), begin))
 	require.False(t, d.SetTable(table(7), begin))
@@ -42,26 +42,26 @@
 	require.NotNil(t, d.View().Route(live))
 }
 
-// The discovery service goes down, and with it the registrations of servers
-// that are well. Callers would be refused and their flows ended if these
-// counted as gone; they are back about two seconds after the service.
-func TestServerThatDisappearsMayComeBack(t *testing.T) {
+// When the discovery service fails, registrations of healthy servers disappear. If these
+// servers counted as gone, callers would be refused and open flows ended. The registrations
+// return about two seconds after the service.
+func TestUnregisterThenRegister(t *testing.T) {
 	var d Directory
 	d.SetTable(table(1, route(live, "a")), begin)
 	d.Register(server("s", "a"))
 	d.Unregister("s", begin)
 	d.Advance(begin.Add(MissingTimeout))
 	require.Equal(t, Missing, d.View().ByName("s").Status)
-	require.Len(t, d.View().Pool("a"), 1, "it is still one that can be used")
+	require.Len(t, d.View().Pool("a"), 1, "a missing server stays in its pool")
 
 	d.Register(server("s", "a"))
 	d.Advance(begin.Add(time.Hour))
 	require.Equal(t, Serving, d.View().ByName("s").Status)
 }
 
-// A server crashes. Its registration lapses, and a server of another Customer
-// may get its address two seconds later.
-func TestServerThatStaysAwayIsGone(t *testing.T) {
+// A server crashes and its registration lapses. Two seconds later a server of another Customer
+// may have its address.
+func TestUnregisterTimeout(t *testing.T) {
 	var d Directory
 	d.SetTable(table(1, route(live, "a")), begin)
 	d.Register(server("s", "a"))
@@ -70,13 +70,13 @@
 	v := d.View()
 	require.Equal(t, Gone, v.ByName("s").Status)
 	require.Empty(t, v.Pool("a"))
-	require.Equal(t, v.ByName("s"), v.ByToken(live, v.Token(live, v.ByName("s"))), "its flows can be told from unknown ones")
+	require.Equal(t, v.ByName("s"), v.ByToken(live, v.Token(live, v.ByName("s"))), "the token of a gone server is still known")
 
 	require.True(t, d.Advance(begin.Add(2*GoneRetention)))
 	require.Nil(t, d.View().ByName("s"))
 }
 
-func TestServerThatSaidItLeavesIsGoneAtOnce(t *testing.T) {
+func TestUnregisterDrainingServer(t *testing.T) {
 	var d Directory
 	d.SetTable(table(1, route(live, "a")), begin)
 	s := server("s", "a")
@@ -87,7 +87,7 @@
 	require.Equal(t, Gone, d.View().ByName("s").Status)
 }
 
-func TestWithdrawnRouteIsRemembered(t *testing.T) {
+func TestWithdrawnRoute(t *testing.T) {
 	var d Directory
 	d.SetTable(table(1, route(live, "a"), route(other, "a")), begin)
 	d.SetTable(table(2, route(other, "a")), begin)
@@ -100,10 +100,9 @@
 	require.False(t, d.View().Withdrawn(other))
 }
 
-// A flow is open at a server of pool a when the route moves to pool b, and a
-// node starts that never saw the earlier table. It has to find the flow's
-// server all the same.
-func TestTokenOfAFormerPoolIsUnderstoodAfterAStart(t *testing.T) {
+// A flow is open at a server of pool a when its route moves to pool b. A node that starts
+// afterwards and never had the earlier table must still find the flow's server.
+func TestByTokenFormerPool(t *testing.T) {
 	var before, after Directory
 	before.SetTable(table(1, route(live, "a")), begin)
 	after.SetTable(table(2, route(live, "b")), begin)
@@ -116,10 +115,10 @@
 	require.Equal(t, "s-a", after.View().ByToken(live, token).Instance)
 }
 
-// Somebody sends packets with made-up tokens to all endpoints of a large deployment. To
-// look for them among all servers must not take more and more memory, which would end
-// the node; and a flow at a former pool of a route is found all the same.
-func TestMadeUpTokensTakeBoundedMemory(t *testing.T) {
+// Packets with forged tokens arrive for all endpoints of a large deployment. Looking the tokens
+// up among all servers must not grow memory without bound, which would end the node. Flows at a
+// former pool of a route must still be found.
+func TestByTokenForgedTokensMemory(t *testing.T) {
 	const servers, endpoints = 5000, 40
 	var d Directory
 	var routes []Route
@@ -146,7 +145,7 @@
 }
 
 // A caller sends the token of its flow to another Customer's address.
-func TestTokenMeansNothingAtAnotherEndpoint(t *testing.T) {
+func TestByTokenOtherEndpoint(t *testing.T) {
 	var d Directory
 	d.SetTable(table(1, route(live, "a"), route(other, "b")), begin)
 	d.Register(server("s-a", "a"))
@@ -155,7 +154,7 @@
 	require.Nil(t, v.ByToken(other, v.Token(live, v.ByName("s-a"))))
 }
 
-func TestPickKeepsToTheWeights(t *testing.T) {
+func TestPickWeights(t *testing.T) {
 	r := Route{Pools: []WeightedPool{{Pool: "a", Weight: 90}, {Pool: "b", Weight: 10}, {Pool: "c"}}}
 	count := map[string]int{}
 	for i := range 20_000 {
@@ -172,7 +171,7 @@
 	require.False(t, ok)
 }
 
-// BenchmarkSearch measures the search for one token among all servers.
+// BenchmarkSearch measures the search for one token among 5,100 servers.
 func BenchmarkSearch(b *testing.B) {
 	var d Directory
 	d.SetTable(table(1, route(live, "a")), begin)
--- a/bronzeroute/naive_test.go
+++ b/bronzeroute/naive_test.go
@@ -10,14 +10,14 @@
 	"pgregory.net/rapid"
 )
 
-// naiveServer is what was said of a server, and when it went missing and was
-// found gone.
+// naiveServer is a server as registered, with the times at which it went missing and was found
+// gone.
 type naiveServer struct {
 	server        Server
 	missing, gone time.Time
 }
 
-// naive looks at all servers each time, and sorts them.
+// naive is a reference implementation of Directory that visits and sorts all servers each time.
 type naive map[string]*naiveServer
 
 func (n naive) unregister(name string, now time.Time) {
@@ -65,17 +65,17 @@
 	return list
 }
 
-// Random sequences of what a directory is told. Each view is as one worked out
-// anew, and stays as it was when others follow, though they share what didn't
-// change.
+// Applies random sequences of changes to a Directory. Each view must equal one built from
+// scratch, and must not change when later ones are built, although views share their unchanged
+// parts.
 func TestViewsAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var d Directory
 		n, now := naive{}, begin
 		d.SetTable(table(1, route(live, "a")), now)
 		name := rapid.SampledFrom([]string{"s-1", "s-2", "s-3", "s-4", "s-5"})
-		first := d.View()
-		firstWas := copies(first)
+		previous := d.View()
+		previousCopies := copies(previous)
 		t.Repeat(map[string]func(*rapid.T){
 			"Register": func(t *rapid.T) {
 				s := server(name.Draw(t, "Name"), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "Pool"))
@@ -101,23 +101,23 @@
 					require.Same(t, s, v.ByName(s.Instance))
 					require.Equal(t, s.Status != Gone, slices.Contains(v.Pool(s.Pool), s))
 				}
-				require.Equal(t, firstWas, copies(first))
+				require.Equal(t, previousCopies, copies(previous))
 				requireTokensOf(t, v, n.servers())
-				first, firstWas = v, got
+				previous, previousCopies = v, got
 			},
 		})
 	})
 }
 
-// requireTokensOf checks that a view's tokens are those of the servers, as made
-// from nothing by a node that has only now heard of all.
+// requireTokensOf checks that a view's tokens equal those of a new Directory that registers the
+// same servers.
 func requireTokensOf(t require.TestingT, v *View, servers []Server) {
-	var anew Directory
-	anew.SetTable(v.Table, begin)
+	var fresh Directory
+	fresh.SetTable(v.Table, begin)
 	for _, s := range servers {
-		anew.Register(s)
+		fresh.Register(s)
 	}
-	other := anew.View()
+	other := fresh.View()
 	for _, s := range servers {
 		token := v.Token(live, &s)
 		require.Equal(t, other.Token(live, &s), token)
@@ -125,10 +125,10 @@
 	}
 }
 
-// The first packet of an endpoint is handled by a view that a change has just
-// overtaken. Flows that are opened by the next view must find the new server all
-// the same: its token would be zero otherwise, and all their packets be dropped.
-func TestEndpointFirstSeenByAFormerViewKnowsNewServers(t *testing.T) {
+// The first packet of an endpoint is handled with a view that is already outdated. The next
+// view must still have the token of a server that was added in between; otherwise it would be
+// zero, and all packets of flows on that server would be dropped.
+func TestTokenAfterOutdatedView(t *testing.T) {
 	var d Directory
 	d.SetTable(table(1, route(live, "a")), begin)
 	d.Register(server("s-1", "a"))
@@ -141,9 +141,9 @@
 	require.Equal(t, "s-2", v.ByToken(live, token).Instance)
 }
 
-// A route moves from a pool to another and back while flows are open at both: each
-// finds its server by its token all the time.
-func TestTokensFollowARouteThatMoves(t *testing.T) {
+// A route moves back and forth between two pools while flows are open at both. Each flow must
+// find its server by its token throughout.
+func TestByTokenRouteChangesPool(t *testing.T) {
 	var d Directory
 	d.SetTable(table(1, route(live, "a")), begin)
 	d.Register(server("s-a", "a"))
--- a/bronzeroute/zones_test.go
+++ b/bronzeroute/zones_test.go
@@ -13,9 +13,9 @@
 	return Server{BackendServer: bronzeconf.BackendServer{Instance: instance, AvailabilityZone: zone}, Pool: "a"}
 }
 
-// An operator drains a zone and takes it back. Its servers keep their flows meanwhile, and
-// so do those that register while it is drained.
-func TestDrainedZoneTakesNothingUntilItsReturn(t *testing.T) {
+// An operator drains and undrains a zone. Its servers, including those that register during the
+// drain, keep their flows and take no new ones.
+func TestDrainZone(t *testing.T) {
 	var d Directory
 	d.SetTable(table(1, route(live, "a")), begin)
 	d.Register(serverIn("x", "x-1"))
@@ -23,7 +23,7 @@
 	require.Nil(t, d.View().DrainedZones)
 
 	require.True(t, d.DrainZone("x"))
-	require.False(t, d.DrainZone("x"), "it is drained already")
+	require.False(t, d.DrainZone("x"), "already drained")
 	d.Register(serverIn("x", "x-2"))
 	v := d.View()
 	require.Equal(t, []string{"x"}, v.DrainedZones)
@@ -35,14 +35,14 @@
 	require.Len(t, v.Pool("a"), 3)
 
 	require.True(t, d.UndrainZone("x", begin))
-	require.False(t, d.UndrainZone("x", begin), "it is none that is drained")
+	require.False(t, d.UndrainZone("x", begin), "not drained")
 	require.Equal(t, Serving, d.View().ByName("x-1").Status)
 	require.Nil(t, d.View().DrainedZones)
 }
 
-// The store is down and registrations lapse. Servers that seem missing take new flows where
-// no other can; one of a drained zone must not, and its flows must not be ended either.
-func TestMissingServerOfADrainedZoneTakesNothing(t *testing.T) {
+// The store is down and registrations lapse. Missing servers take new flows as a last resort,
+// but those of a drained zone must not, and their flows must not be ended either.
+func TestDrainZoneMissingServer(t *testing.T) {
 	var d Directory
 	d.SetTable(table(1, route(live, "a")), begin)
 	d.Register(serverIn("x", "x-1"))
@@ -53,10 +53,10 @@
 	require.Equal(t, Gone, d.View().ByName("x-1").Status)
 }
 
-// A zone's servers start again just before the zone is taken back. Their registrations that
-// say so come a moment after its return: believed warm meanwhile, they would get all their
-// callers at once.
-func TestServersAreColdAfterTheirZonesReturn(t *testing.T) {
+// The servers of a drained zone restart just before it is undrained, and the registrations that
+// say so arrive just after. If the servers were considered warm in between, they would get all
+// their callers at once.
+func TestWarmAfterUndrainZone(t *testing.T) {
 	var d Directory
 	first := table(1, route(live, "a"))
 	first.Warmups = map[string]Warmup{"a": {Duration: 2 * time.Second, RequestsPerSecond: 10}}
@@ -71,8 +71,8 @@
 	require.True(t, v.ByName("y-1").Warm(begin))
 }
 
-// What a pool's servers bear changes with the table, for servers that are known already.
-func TestWarmupsChangeWithTheTable(t *testing.T) {
+// A new table changes the warm-up of servers that are already registered.
+func TestSetTableChangesWarmups(t *testing.T) {
 	var d Directory
 	d.SetTable(table(1, route(live, "a")), begin)
 	d.Register(serverIn("x", "x-1"))
@@ -83,8 +83,8 @@
 	require.Equal(t, next.Warmups["a"], d.View().ByName("x-1").Warmup)
 }
 
-// Names of zones come from outside. Those that are taken back are not kept for ever.
-func TestReturnsAreForgotten(t *testing.T) {
+// Zone names come from outside, so the ends of their drains must not be kept forever.
+func TestUndrainRetention(t *testing.T) {
 	var d Directory
 	d.DrainZone("x")
 	d.UndrainZone("x", begin)
