--- a/bronzeroute/directory.go
+++ b/bronzeroute/directory.go
@@ -87,7 +87,7 @@
 
 // Register adds a server or updates its registration. A registration from an earlier start of
 // the server is ignored, however late it arrives.
-func (d *Directory) Register(s Server) (taken bool) {
+func (d *Directory) Register(s Server) (accepted bool) {
 	if d.servers == nil {
 		d.servers = make(map[string]*entry)
 	}
--- a/bronzeroute/directory_test.go
+++ b/bronzeroute/directory_test.go
@@ -42,9 +42,9 @@
 	require.NotNil(t, d.View().Route(live))
 }
 
-// When the discovery service fails, registrations of healthy servers disappear. If these
-// servers counted as gone, callers would be refused and open flows ended. The registrations
-// return about two seconds after the service.
+// When the store fails, registrations of healthy servers disappear. If these servers counted as
+// gone, callers would be refused and open flows ended. The registrations return about two
+// seconds after the store does.
 func TestUnregisterThenRegister(t *testing.T) {
 	var d Directory
 	d.SetTable(table(1, route(live, "a")), begin)
