--- a/bronzesocket/bench_test.go
+++ b/bronzesocket/bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// BenchmarkSocket moves datagrams over loopback; ns/op is for one datagram.
+// BenchmarkSocket sends datagrams over loopback; ns/op is per datagram.
 func BenchmarkSocket(b *testing.B) {
 	for _, batch := range []int{1, 8, MaxBatch} {
 		b.Run(fmt.Sprintf("Batch=%d", batch), func(b *testing.B) {
--- a/bronzesocket/discard.go
+++ b/bronzesocket/discard.go
@@ -7,15 +7,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// discardMost bounds what Discard drops, in datagrams: more don't fit into the kernel's
-// buffer, and those that come meanwhile are new.
-const discardMost = 8192
+// maxDiscard bounds the datagrams that one Discard drops. The kernel's buffer holds no
+// more, and those that arrive meanwhile are new.
+const maxDiscard = 8192
 
-// Discard drops the datagrams that wait in the socket and returns how many they were.
+// Discard drops the datagrams that wait in the socket and returns their number.
 func (s *Socket) Discard() (n int, err error) { return Discard(s.conn) }
 
-// Discard drops the datagrams that wait in a socket and returns how many they were. It
-// doesn't wait for any.
+// Discard drops the datagrams that wait in a socket and returns their number. It doesn't
+// wait for any to arrive.
 func Discard(c syscall.Conn) (n int, err error) {
 	defer func() { err = errors.Wrap(err, "discard datagrams") }()
 	raw, err := c.SyscallConn()
@@ -24,7 +24,7 @@
 	}
 	b := make([]byte, 1)
 	err = raw.Control(func(fd uintptr) {
-		for n < discardMost {
+		for n < maxDiscard {
 			if _, _, failed := unix.Recvfrom(int(fd), b, unix.MSG_DONTWAIT); failed != nil {
 				return
 			}
--- a/bronzesocket/doc.go
+++ b/bronzesocket/doc.go
@@ -1,5 +1,5 @@
-// Package bronzesocket moves UDP datagrams in batches: one system call takes up
-// to MaxBatch of them. It knows nothing of what they hold.
+// Package bronzesocket reads and writes UDP datagrams in batches of up to MaxBatch a
+// system call. It doesn't interpret their contents.
 //
 // # Usage
 //
--- a/bronzesocket/socket.go
+++ b/bronzesocket/socket.go
@@ -10,34 +10,33 @@
 	"golang.org/x/net/ipv4"
 )
 
-// MaxBatch is how many datagrams one system call reads or writes at most.
+// MaxBatch is the maximum number of datagrams in one system call.
 const MaxBatch = 64
 
-// socketBuffer is the size asked for the kernel's buffers, in bytes; the
-// kernel may grant less. It holds the packets that arrive while the process
-// is paused by the scheduler or the garbage collector.
-const socketBuffer = 4 << 20
+// socketBufferSize is the requested size of the kernel's socket buffers, in bytes; the
+// kernel may grant less. The buffers hold packets that arrive while the process is paused
+// by the scheduler or the garbage collector.
+const socketBufferSize = 4 << 20
 
 // Datagram is one UDP datagram of a batch.
 type Datagram struct {
-	// Addr is where it came from, or where it goes.
+	// Addr is the source of a received datagram, or the destination of one to send.
 	Addr netip.AddrPort
-	// Buf holds the content in Buf[:N]. Reads fill it up to its length and
-	// cut off what doesn't fit.
+	// Buf[:N] holds the content. Reads use the whole length of Buf and truncate datagrams
+	// that don't fit.
 	Buf []byte
 	N   int
 }
 
-// Socket is a UDP socket that moves datagrams in batches. Its methods may be
-// called by several goroutines at once.
+// Socket is a UDP socket that reads and writes datagrams in batches. Its methods may be
+// called concurrently.
 type Socket struct {
 	conn    *net.UDPConn
 	packets *ipv4.PacketConn
 	batches sync.Pool
 }
 
-// batch is the form of a batch that the system calls want, reused between
-// calls.
+// batch holds the arguments of a batch system call, reused between calls.
 type batch struct {
 	messages [MaxBatch]ipv4.Message
 	buffers  [MaxBatch][1][]byte
@@ -45,8 +44,7 @@
 	ips      [MaxBatch][16]byte
 }
 
-// Listen opens a socket on address, an IP number with a port, where port 0
-// means any free one.
+// Listen opens a socket on address, an IP address with a port. Port 0 means any free port.
 func Listen(address string) (s *Socket, err error) {
 	defer func() { err = errors.Wrap(err, "listen on UDP "+address) }()
 	ap, err := netip.ParseAddrPort(address)
@@ -57,9 +55,9 @@
 	if err != nil {
 		return nil, err
 	}
-	// ipv4.PacketConn's batch calls carry addresses of both families.
+	// ipv4.PacketConn's batch calls support addresses of both families.
 	s = &Socket{conn: conn, packets: ipv4.NewPacketConn(conn)}
-	if err := s.growBuffers(); err != nil {
+	if err := s.setBufferSizes(); err != nil {
 		return nil, errors.WithMessage(err, closeMessage(conn))
 	}
 	return s, nil
@@ -79,11 +77,11 @@
 	return "socket closed"
 }
 
-func (s *Socket) growBuffers() error {
-	if err := s.conn.SetReadBuffer(socketBuffer); err != nil {
+func (s *Socket) setBufferSizes() error {
+	if err := s.conn.SetReadBuffer(socketBufferSize); err != nil {
 		return err
 	}
-	return s.conn.SetWriteBuffer(socketBuffer)
+	return s.conn.SetWriteBuffer(socketBufferSize)
 }
 
 // LocalAddrPort returns the address that the socket is bound to.
@@ -92,8 +90,8 @@
 	return netip.AddrPortFrom(ap.Addr().Unmap(), ap.Port())
 }
 
-// ReadBatch waits for at least one datagram, fills ms from its start, and
-// returns how many it filled. After Close the error wraps net.ErrClosed.
+// ReadBatch waits for at least one datagram, fills ms from its start, and returns how many
+// it filled. After Close the error wraps net.ErrClosed.
 func (s *Socket) ReadBatch(ms []Datagram) (n int, err error) {
 	defer func() { err = errors.Wrap(err, "read a batch") }()
 	if len(ms) == 0 {
@@ -118,9 +116,9 @@
 	return n, nil
 }
 
-// WriteBatch sends each Buf[:N] of ms to its Addr, in order and whole, in as
-// few system calls as it can. On an error, n datagrams were sent and ms[n]
-// was refused; the caller may go on after it.
+// WriteBatch sends each Buf[:N] of ms to its Addr, in order and whole, in as few system
+// calls as possible. On an error, n datagrams were sent and ms[n] was rejected; the caller
+// may continue after it.
 func (s *Socket) WriteBatch(ms []Datagram) (n int, err error) {
 	defer func() { err = errors.Wrap(err, "write a batch") }()
 	b := s.batch()
@@ -145,8 +143,8 @@
 	return max(n, 0), err
 }
 
-// SetReadDeadline has a ReadBatch that waits until at, now or later, return an error
-// that wraps os.ErrDeadlineExceeded. The zero time means no deadline.
+// SetReadDeadline makes a ReadBatch that waits until at, now or later, return an error that
+// wraps os.ErrDeadlineExceeded. The zero time means no deadline.
 func (s *Socket) SetReadDeadline(at time.Time) (err error) {
 	defer func() { err = errors.Wrap(err, "set a read deadline") }()
 	return s.conn.SetReadDeadline(at)
@@ -165,7 +163,7 @@
 	return new(batch)
 }
 
-// release drops the references to the first n datagrams' memory.
+// release drops the references to the memory of the first n datagrams.
 func (b *batch) release(n int) {
 	for i := range n {
 		b.buffers[i][0] = nil
@@ -173,7 +171,7 @@
 	}
 }
 
-// addr returns a in the form of package net, in memory of b's.
+// addr converts a to a net.UDPAddr that uses the memory of entry i of b.
 func (b *batch) addr(i int, a netip.AddrPort) *net.UDPAddr {
 	u := &b.addrs[i]
 	b.ips[i] = a.Addr().As16()
--- a/bronzesocket/socket_test.go
+++ b/bronzesocket/socket_test.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// One datagram of a batch can't be sent. Its neighbours belong to other
-// flows and must not be lost with it, so the caller learns which it was.
-func TestWriteBatchReportsWhere(t *testing.T) {
+// One datagram of a batch can't be sent. The others belong to other flows and must not be
+// lost with it, so the caller is told which one failed.
+func TestWriteBatchErrorIndex(t *testing.T) {
 	a, b := listen(t, "127.0.0.1:0"), listen(t, "127.0.0.1:0")
 	ms := buffers(3)
 	for i := range ms {
@@ -88,8 +88,8 @@
 	require.Error(t, err)
 }
 
-// x/net allocates the address of each datagram that is read; nothing else may
-// be allocated for each.
+// x/net allocates the address of each datagram that is read; nothing else may be allocated
+// per datagram.
 func TestSocketAllocations(t *testing.T) {
 	const count = 32
 	a, b := listen(t, "127.0.0.1:0"), listen(t, "127.0.0.1:0")
@@ -114,9 +114,9 @@
 	require.LessOrEqual(t, allocs, float64(2*count+8))
 }
 
-// A process stood still while datagrams came, more than one read takes. They are dropped
-// without waiting for any, and what comes later is read.
-func TestDiscardDropsWhatWaits(t *testing.T) {
+// More datagrams wait than one read takes, as after a pause of the process. All are dropped
+// without waiting for more, and a later one is read.
+func TestDiscard(t *testing.T) {
 	from, to := listen(t, "127.0.0.1:0"), listen(t, "127.0.0.1:0")
 	for range 2 {
 		send(t, from, to.LocalAddrPort(), 48)
