--- a/cmd/bronzeedge/main.go
+++ b/cmd/bronzeedge/main.go
@@ -1,16 +1,16 @@
 // Command bronzeedge runs a balancer on a platform where packets carry the
-// token of their server, servers register themselves in a store that can only
-// be read, and nothing lasts on a VM.
+// token of their server, servers register themselves in a metadata store that is
+// read-only for the balancer, and nothing is kept on a VM.
 //
 //	bronzeedge --settings /etc/bronzeusher/settings.json
 //
-// The flag can be set by the environment variable that the platform names
-// (platform.SettingsVariable). Logs go to standard output as JSON lines. SIGTERM leaves gracefully, SIGHUP reads the
-// settings again.
+// The flag can also be set by the platform's environment variable
+// (platform.SettingsVariable). Logs go to standard output as JSON lines. SIGTERM
+// makes the node leave gracefully, SIGHUP reloads the settings.
 //
-// It is a program of its own beside bronzeusher, whose commands and libraries
-// take three milliseconds more of processor time to start: on a VM with a
-// tenth of a core callers wait ten times as long for it after a power cut.
+// It is a separate program from bronzeusher, whose commands and libraries take
+// three milliseconds more of processor time to start. On a VM with a tenth of a
+// core that takes ten times as long, and after a power cut callers wait for it.
 package main
 
 import (
@@ -28,26 +28,25 @@
 	"bronzeusher.example/bronzeusher/platform"
 )
 
-// gcPercent is by how much the heap grows before it is collected: half the memory of
-// the default, for little processor time.
+// gcPercent is the heap growth in percent that triggers a collection. It halves the memory
+// compared with the default, for little processor time.
 const gcPercent = 20
 
-// startFor is how long after the start the heap may grow as far as it does by
-// default: collected several times while the records are read, it would have the first
-// packet wait.
-const startFor = 3 * time.Second
+// startupTime is how long after the start the default of GOGC applies: several collections
+// while the records are read would delay the first packet.
+const startupTime = 3 * time.Second
 
-// settingsInterval is how often the settings file is looked at. It may change
-// without a signal; nothing in it is urgent.
+// settingsInterval is how often the settings file is checked. It may change without a
+// signal; nothing in it is urgent.
 const settingsInterval = 5 * time.Second
 
-// flags is the grammar of the command line.
+// flags are the command-line flags.
 type flags struct {
 	Settings string `required:"" env:"${settings}" help:"JSON file with the settings of this node." type:"path"`
 }
 
 func main() {
-	time.AfterFunc(startFor, func() { debug.SetGCPercent(gcPercent) })
+	time.AfterFunc(startupTime, func() { debug.SetGCPercent(gcPercent) })
 	var f flags
 	kong.Parse(&f,
 		kong.Name("bronzeedge"),
@@ -73,14 +72,14 @@
 	}
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGHUP, os.Interrupt)
-	go handle(signals, e, settings)
+	go handleSignals(signals, e, settings)
 	return e.Run(context.Background())
 }
 
-// handle makes the node leave at a signal to end, and take in its settings
-// when a signal or the file's time says that they changed.
-func handle(signals <-chan os.Signal, e *bronzeedge.Edge, settings string) {
-	changed := fileTime(settings)
+// handleSignals makes the node leave on a termination signal, and reloads its settings on
+// SIGHUP or when the modification time of the file changes.
+func handleSignals(signals <-chan os.Signal, e *bronzeedge.Edge, settings string) {
+	changed := modTime(settings)
 	ticker := time.NewTicker(settingsInterval)
 	defer ticker.Stop()
 	for {
@@ -91,7 +90,7 @@
 				return
 			}
 		case <-ticker.C:
-			at := fileTime(settings)
+			at := modTime(settings)
 			if at.Equal(changed) {
 				continue
 			}
@@ -101,9 +100,9 @@
 	}
 }
 
-// fileTime returns when a file was last changed, the zero time if that can't
-// be told: reading it will say why.
-func fileTime(path string) time.Time {
+// modTime returns when a file was last modified, or the zero time if that can't be read;
+// reading the file reports why.
+func modTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
