--- a/bronzeedge/config.go
+++ b/bronzeedge/config.go
@@ -14,63 +14,60 @@
 	"bronzeusher.example/bronzeusher/bronzesteer"
 )
 
-// Defaults of Config's fields.
+// Defaults of Config fields.
 const (
-	// DefaultGrace is how long a leaving node may take where nothing else is
-	// said.
+	// DefaultGrace is the time a leaving node may take if GraceSeconds is 0.
 	DefaultGrace = 6 * time.Second
-	// DefaultQuiet is how long no packet may have come before a leaving node
-	// ends. Callers repeat themselves after 200 ms, and routers ask twice a
-	// second whether the node is ready.
+	// DefaultQuiet is how long a leaving node must have received no packets before it
+	// exits. Callers retransmit after 200 ms, and routers poll readiness twice a second.
 	DefaultQuiet = 700 * time.Millisecond
 )
 
-// Config is what an Edge is told at its start, as JSON with the fields' names.
+// Config holds the settings of an Edge. In JSON it uses the Go field names.
 type Config struct {
 	Name             string
 	Region           string
 	AvailabilityZone string
-	// Regions names the region of each availability zone.
+	// Regions maps each availability zone to its region.
 	Regions map[string]string
-	// DataAddress takes callers' packets (UDP). Packets to callers go to the
-	// port of the same number.
+	// DataAddress receives callers' packets (UDP). Resets for callers are sent to the same
+	// port number.
 	DataAddress netip.AddrPort
-	// ReadyAddress answers whether this node takes packets (HTTP).
+	// ReadyAddress serves the readiness check (HTTP).
 	ReadyAddress netip.AddrPort
-	// ControlAddress answers other nodes' requests for records (HTTP).
+	// ControlAddress serves other nodes' requests for records (HTTP).
 	ControlAddress netip.AddrPort
-	// PeerAddress takes other nodes' datagrams (UDP).
+	// PeerAddress receives other nodes' datagrams (UDP).
 	PeerAddress netip.AddrPort
-	// PeerPublicAddress is where other nodes reach PeerAddress, if that is another
-	// address, as where addresses are translated on the way.
+	// PeerPublicAddress is the address at which other nodes reach PeerAddress, if it
+	// differs, for example behind address translation.
 	PeerPublicAddress netip.AddrPort
-	// MetricsAddress serves metrics and the node's state (HTTP), none if it is
-	// left out.
+	// MetricsAddress serves metrics and the node's status (HTTP). It is optional.
 	MetricsAddress netip.AddrPort
-	// Seeds are addresses of nodes to join through. Only their hosts count:
-	// ports are the same on all VMs.
+	// Seeds are addresses of nodes to join through. Only the hosts are used; the peer port
+	// is the same on all VMs.
 	Seeds []netip.AddrPort
-	// Store is where the store of records listens.
+	// Store is the address of the metadata store.
 	Store string
-	// MemoryMB is how much memory the node may use, 0 if that isn't told.
+	// MemoryMB is how much memory the node may use, 0 if unknown.
 	MemoryMB float64
-	// GraceSeconds is how long the node may take to leave, and QuietSeconds for
-	// how long no packet may have come before it ends; 0 means the defaults.
+	// GraceSeconds is how long the node may take to leave. QuietSeconds is how long it must
+	// have received no packets before it exits. 0 means the default.
 	GraceSeconds float64
 	QuietSeconds float64
 }
 
-// FieldError is a fault of one field of a Config.
+// FieldError reports an invalid field of a Config.
 type FieldError struct {
 	Field  string
 	Reason string
 }
 
-// Error names the field.
+// Error returns the field name followed by the reason.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
-// ReadConfig reads a Config from a file and checks it. An error about a field
-// is a *FieldError.
+// ReadConfig reads and validates the Config in a file. An error in a field is a
+// *FieldError.
 func ReadConfig(path string) (cfg Config, err error) {
 	defer func() { err = errors.Wrapf(err, "settings %s", path) }()
 	b, err := os.ReadFile(path)
@@ -80,7 +77,7 @@
 	return ParseConfig(b)
 }
 
-// ParseConfig reads and checks a Config.
+// ParseConfig decodes and validates a Config.
 func ParseConfig(b []byte) (cfg Config, err error) {
 	if err = json.Unmarshal(b, &cfg); err != nil {
 		var mismatch *json.UnmarshalTypeError
@@ -92,7 +89,7 @@
 	return cfg, cfg.Check()
 }
 
-// Check returns a *FieldError for the first field that can't be used.
+// Check returns a *FieldError for the first invalid field.
 func (c *Config) Check() error {
 	switch {
 	case c.Name == "":
@@ -119,9 +116,9 @@
 	return nil
 }
 
-// differs returns the names of the fields that other has different and that a
-// running node can't take in.
-func (c *Config) differs(other *Config) (fields []string) {
+// restartFields returns the names of the fields that differ in other and that a running
+// node can't change.
+func (c *Config) restartFields(other *Config) (fields []string) {
 	a, b := reflect.ValueOf(c).Elem(), reflect.ValueOf(other).Elem()
 	for i := range a.NumField() {
 		name := a.Type().Field(i).Name
@@ -132,49 +129,49 @@
 	return fields
 }
 
-func (c *Config) grace() time.Duration { return seconds(c.GraceSeconds, DefaultGrace) }
+func (c *Config) grace() time.Duration { return secondsOr(c.GraceSeconds, DefaultGrace) }
 
-func (c *Config) quiet() time.Duration { return seconds(c.QuietSeconds, DefaultQuiet) }
+func (c *Config) quiet() time.Duration { return secondsOr(c.QuietSeconds, DefaultQuiet) }
 
-// seconds returns n seconds, or d if n is 0.
-func seconds(n float64, d time.Duration) time.Duration {
+// secondsOr returns n seconds, or d if n is 0.
+func secondsOr(n float64, d time.Duration) time.Duration {
 	if n == 0 {
 		return d
 	}
 	return time.Duration(n * float64(time.Second))
 }
 
-// Adapter are what the daemon speaks to the outside by.
+// Adapter connects the daemon to its platform.
 type Adapter struct {
 	Wire Wire
-	// Source returns what the store is read by; count is called with the kind of
-	// each call and how it went.
+	// Source returns the source of records. It calls count with the kind and outcome of
+	// each call to the store.
 	Source  func(count func(call, outcome string)) bronzerecord.Source
 	Decoder Decoder
-	// ReadyPath is the path that is asked whether the node is ready.
+	// ReadyPath is the HTTP path of the readiness check.
 	ReadyPath string
 }
 
-// Wire is the form of packets.
+// Wire parses and encodes packets.
 type Wire struct {
-	// MaxDatagram is the longest datagram in bytes.
+	// MaxDatagram is the length of the longest datagram, in bytes.
 	MaxDatagram int
 	Parse       func(b []byte) (bronzesteer.Packet, error)
-	// AppendForward appends what takes the packet b to a server.
+	// AppendForward appends the datagram that carries the packet b to a server.
 	AppendForward func(dst, b []byte, incarnation uint64, token uint32) []byte
-	// AppendReset appends what ends the flow of p for its caller.
+	// AppendReset appends the packet that ends the flow of p at its caller.
 	AppendReset func(dst []byte, p *bronzesteer.Packet) []byte
 }
 
-// Decoder reads records.
+// Decoder decodes records of the store.
 type Decoder struct {
 	IsTable func(name string) bool
-	// ServerName and DrainedZone return the server that a record registers, and the
-	// AvailabilityZone that one has drained while it is there.
+	// ServerName returns the instance that a record registers. DrainedZone returns the
+	// AvailabilityZone that a record drains for as long as it exists.
 	ServerName  func(name string) (instance string, ok bool)
 	DrainedZone func(name string) (zone string, ok bool)
 	Table       func(r bronzerecord.Record) (*bronzeroute.Table, error)
 	Server      func(r bronzerecord.Record, now time.Time) (bronzeroute.Server, error)
-	// CheckDrain returns what is wrong with a record that has a zone drained.
+	// CheckDrain reports what is wrong with a record that drains a zone.
 	CheckDrain func(r bronzerecord.Record) error
 }
--- a/bronzeedge/doc.go
+++ b/bronzeedge/doc.go
@@ -1,14 +1,14 @@
-// Package bronzeedge is the daemon of an entry VM whose callers' packets carry
-// the token of their server: the decisions of a bronzesteer.Steerer with
-// sockets, knowledge, readiness, logs and metrics around them. Package
-// bronzenode is its counterpart for packets that carry nothing.
+// Package bronzeedge is the balancer daemon of an entry VM for packets that carry
+// the token of their server. It runs the decisions of a bronzesteer.Steerer with
+// sockets, records from the store, gossip with other nodes, readiness, logs and
+// metrics. Package bronzenode is the counterpart for packets that carry no token.
 //
-// What it speaks to the outside are seams: Wire for packets, Source for the
-// store, Decoder for records. An adapter fills them in.
+// An Adapter connects the daemon to its platform: Wire handles packets, Source
+// reads the store, and Decoder decodes records.
 //
 // # Usage
 //
-//	e, err := bronzeedge.New(bronzeedge.Config{Name: "edge-1", DataAddress: data, ...}, bronzeedge.Seams{...})
+//	e, err := bronzeedge.New(bronzeedge.Config{Name: "edge-1", DataAddress: data, ...}, bronzeedge.Adapter{...}, log)
 //	go func() { <-signals; e.Leave() }()
 //	err = e.Run(ctx)
 package bronzeedge
--- a/bronzeedge/edge.go
+++ b/bronzeedge/edge.go
@@ -30,7 +30,7 @@
 // Edge is the daemon of one entry VM. New makes one; Run runs it once.
 type Edge struct {
 	cfg      Config
-	seams    Adapter
+	adapter  Adapter
 	log      *Log
 	counts   *counters
 	started  time.Time
@@ -68,13 +68,13 @@
 }
 
 // New opens the addresses of cfg.
-func New(cfg Config, seams Adapter, log *Log) (e *Edge, err error) {
+func New(cfg Config, adapter Adapter, log *Log) (e *Edge, err error) {
 	defer func() { err = errors.Wrap(err, "make an edge") }()
 	if err = cfg.Check(); err != nil {
 		return nil, err
 	}
 	e = &Edge{
-		cfg: cfg, seams: seams, log: log, counts: newCounters(), started: time.Now(), grace: cfg.grace(),
+		cfg: cfg, adapter: adapter, log: log, counts: newCounters(), started: time.Now(), grace: cfg.grace(),
 		known: make(chan struct{}), leaving: make(chan struct{}),
 	}
 	e.steerer.AvailabilityZone = cfg.AvailabilityZone
@@ -91,7 +91,7 @@
 	e.cfg.DataAddress, e.cfg.PeerAddress, e.cfg.ControlAddress = bound.Data, bound.Peer, bound.Control
 	e.connectPeers()
 	e.follower = bronzerecord.Follower{
-		Source: seams.Source(e.counts.call), Set: &e.records, OnEvent: e.onStoreEvent, Active: e.reads,
+		Source: adapter.Source(e.counts.call), Set: &e.records, OnEvent: e.onStoreEvent, Active: e.reads,
 		Yield: func() bool { return e.gossip.Yields(time.Now()) },
 	}
 	return e, nil
@@ -234,7 +234,7 @@
 	e.grace = cfg.grace()
 	e.cfgMu.Unlock()
 	e.gossip.SetSeeds(e.peerAddresses(cfg.Seeds))
-	e.log.Line("SettingsInForce", Fields{"Seeds": cfg.Seeds, "GraceSeconds": cfg.GraceSeconds, "NextStart": e.cfg.differs(&cfg)})
+	e.log.Line("SettingsInForce", Fields{"Seeds": cfg.Seeds, "GraceSeconds": cfg.GraceSeconds, "NextStart": e.cfg.restartFields(&cfg)})
 }
 
 const (
--- a/bronzeedge/packets.go
+++ b/bronzeedge/packets.go
@@ -48,7 +48,7 @@
 	w := e.newWorker()
 	w.in = make([]bronzesocket.Datagram, batchSize)
 	for i := range w.in {
-		w.in[i].Buf = make([]byte, e.seams.Wire.MaxDatagram)
+		w.in[i].Buf = make([]byte, e.adapter.Wire.MaxDatagram)
 	}
 	for ctx.Err() == nil {
 		w.setDeadline()
@@ -86,7 +86,7 @@
 // handle decides on one packet.
 func (w *worker) handle(b []byte, now time.Time) {
 	e := w.edge
-	p, err := e.seams.Wire.Parse(b)
+	p, err := e.adapter.Wire.Parse(b)
 	if err != nil {
 		e.count("Malformed")
 		return
@@ -119,14 +119,14 @@
 // forward sends a packet to the server that was decided on.
 func (w *worker) forward(b []byte, d *bronzesteer.Decision) {
 	to := w.next(d.Server.Address)
-	to.Buf = w.edge.seams.Wire.AppendForward(to.Buf[:0], b, d.Server.Incarnation, d.Token)
+	to.Buf = w.edge.adapter.Wire.AppendForward(to.Buf[:0], b, d.Server.Incarnation, d.Token)
 	to.N = len(to.Buf)
 }
 
 // reset sends a caller the end of its flow, in answer to p.
 func (w *worker) reset(p *bronzesteer.Packet) {
 	to := w.next(netip.AddrPortFrom(p.Key.CallerAddrPort().Addr(), w.edge.cfg.DataAddress.Port()))
-	to.Buf = w.edge.seams.Wire.AppendReset(to.Buf[:0], p)
+	to.Buf = w.edge.adapter.Wire.AppendReset(to.Buf[:0], p)
 	to.N = len(to.Buf)
 }
 
@@ -182,7 +182,7 @@
 	d := &w.out[len(w.out)-1]
 	d.Addr = to
 	if d.Buf == nil {
-		d.Buf = make([]byte, 0, w.edge.seams.Wire.MaxDatagram)
+		d.Buf = make([]byte, 0, w.edge.adapter.Wire.MaxDatagram)
 	}
 	return d
 }
--- a/bronzeedge/ready.go
+++ b/bronzeedge/ready.go
@@ -12,7 +12,7 @@
 
 func (e *Edge) readyHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+e.seams.ReadyPath, e.answerReady)
+	mux.HandleFunc("GET "+e.adapter.ReadyPath, e.answerReady)
 	return mux
 }
 
--- a/bronzeedge/recall.go
+++ b/bronzeedge/recall.go
@@ -21,13 +21,13 @@
 // for would send callers to servers that are about to end.
 func (e *Edge) recall(l *bronzerecord.LostRecord, now time.Time) (changed bool) {
 	until := now.Add(bronzerecord.LostRetention - l.Age)
-	if e.seams.Decoder.IsTable(l.Record.Name) {
+	if e.adapter.Decoder.IsTable(l.Record.Name) {
 		return !l.Removed && e.takeTable(l.Record, l.Epoch, now)
 	}
-	if zone, ok := e.seams.Decoder.DrainedZone(l.Record.Name); ok {
+	if zone, ok := e.adapter.Decoder.DrainedZone(l.Record.Name); ok {
 		return !l.Removed && e.recallZone(zone, l, until)
 	}
-	instance, ok := e.seams.Decoder.ServerName(l.Record.Name)
+	instance, ok := e.adapter.Decoder.ServerName(l.Record.Name)
 	if !ok {
 		return false
 	}
@@ -51,7 +51,7 @@
 	if l.Removed {
 		changed = e.book.directory.RecallRemoved(instance, until)
 	} else {
-		s, err := e.seams.Decoder.Server(l.Record, now)
+		s, err := e.adapter.Decoder.Server(l.Record, now)
 		if err != nil {
 			// It named no server before either.
 			return false
--- a/bronzeedge/recall_test.go
+++ b/bronzeedge/recall_test.go
@@ -106,7 +106,7 @@
 		d.nodes[i].edge.log.Close()
 	}
 	e := &Edge{counts: newCounters(), log: NewLog(io.Discard), started: time.Now(), known: make(chan struct{})}
-	e.seams.Decoder = testDecoder()
+	e.adapter.Decoder = testDecoder()
 	e.gossip.Records = &e.records
 	e.records.OnChange = e.onRecords
 	d.nodes[i] = &drillNode{edge: e, left: map[string]bool{}, ended: map[string]bool{}, drained: map[string]bool{}}
--- a/bronzeedge/records.go
+++ b/bronzeedge/records.go
@@ -43,10 +43,10 @@
 
 // removeRecord takes in that a record is no more.
 func (e *Edge) removeRecord(name string, at bronzerecord.Position, now time.Time) (changed bool) {
-	if zone, ok := e.seams.Decoder.DrainedZone(name); ok {
+	if zone, ok := e.adapter.Decoder.DrainedZone(name); ok {
 		return e.returnZone(zone, at, now)
 	}
-	instance, ok := e.seams.Decoder.ServerName(name)
+	instance, ok := e.adapter.Decoder.ServerName(name)
 	if !ok {
 		return false
 	}
@@ -73,17 +73,17 @@
 // The first records have no line each: callers wait for them after a power cut, and the
 // lines would take more than half of the processor time, and leave no room for others.
 func (e *Edge) takeRecord(r bronzerecord.Record, epoch uint64, first bool, now time.Time) (changed bool) {
-	if e.seams.Decoder.IsTable(r.Name) {
+	if e.adapter.Decoder.IsTable(r.Name) {
 		return e.takeTable(r, epoch, now)
 	}
-	if zone, ok := e.seams.Decoder.DrainedZone(r.Name); ok {
+	if zone, ok := e.adapter.Decoder.DrainedZone(r.Name); ok {
 		return e.drainZone(zone, r, epoch)
 	}
-	instance, ok := e.seams.Decoder.ServerName(r.Name)
+	instance, ok := e.adapter.Decoder.ServerName(r.Name)
 	if !ok {
 		return false
 	}
-	s, err := e.seams.Decoder.Server(r, now)
+	s, err := e.adapter.Decoder.Server(r, now)
 	if err != nil {
 		e.refuse(r, epoch, err)
 		e.book.directory.Unregister(instance, now)
@@ -109,7 +109,7 @@
 }
 
 func (e *Edge) takeTable(r bronzerecord.Record, epoch uint64, now time.Time) (changed bool) {
-	t, err := e.seams.Decoder.Table(r)
+	t, err := e.adapter.Decoder.Table(r)
 	if err != nil {
 		e.refuse(r, epoch, err)
 		return false
--- a/bronzeedge/zones.go
+++ b/bronzeedge/zones.go
@@ -10,7 +10,7 @@
 // record is there. A fault in the record, or a zone that this deployment doesn't have, is
 // logged; what is clear is obeyed all the same.
 func (e *Edge) drainZone(zone string, r bronzerecord.Record, epoch uint64) (changed bool) {
-	if err := e.seams.Decoder.CheckDrain(r); err != nil {
+	if err := e.adapter.Decoder.CheckDrain(r); err != nil {
 		e.refuse(r, epoch, err)
 	}
 	if zone == "" || !e.book.directory.DrainZone(zone) {
