--- a/bronzeedge/edge.go
+++ b/bronzeedge/edge.go
@@ -20,14 +20,14 @@
 )
 
 const (
-	// tickInterval is how often timers of the decisions and of the directory
-	// are looked at.
+	// tickInterval is how often the timers of the gossip, the steerer and the directory are
+	// checked.
 	tickInterval = 100 * time.Millisecond
-	// headerTimeout bounds how long a connection may take to ask.
+	// headerTimeout bounds the time to read the headers of a request.
 	headerTimeout = 5 * time.Second
 )
 
-// Edge is the daemon of one entry VM. New makes one; Run runs it once.
+// Edge is the balancer daemon of one entry VM. Create it with New and call Run once.
 type Edge struct {
 	cfg      Config
 	adapter  Adapter
@@ -37,37 +37,37 @@
 	steerer  bronzesteer.Steerer
 	records  bronzerecord.Set
 	follower bronzerecord.Follower
-	book     book
+	routing  book
 	held     held
 	cfgMu    sync.Mutex
 	grace    time.Duration // guarded by cfgMu
 
-	gossip   bronzegossip.Gossip
-	fetching atomic.Bool
-	fetches  *http.Client
-	zipped   zipped
-	copies   atomic.Int32 // copies of all records that are being sent
-	reading  atomic.Bool  // whether this node reads the store, as last logged
-	store    storeState   // used by the follower alone
+	gossip      bronzegossip.Gossip
+	fetching    atomic.Bool
+	fetchClient *http.Client
+	deltas      zipped
+	fullCopies  atomic.Int32 // full copies of the records being sent to peers
+	wasReading  atomic.Bool  // last result of readsStore, as logged
+	store       storeState   // used only by the follower
 
-	suspended suspension
-	pauses    pauses
+	suspensions suspension
+	pauses      pauses
 
 	data    *bronzesocket.Socket
 	peers   *net.UDPConn
 	ready   net.Listener
 	control net.Listener
-	metrics net.Listener // nil if there is no address for it, or it can't be had
+	metrics net.Listener // nil if not configured or not opened
 
-	known     chan struct{} // closed at the first view
-	knownOnce sync.Once
-	leaving   chan struct{} // closed by Leave
-	leaveOnce sync.Once
-	// packetAt is when the last packet of a caller came, since started.
-	packetAt atomic.Int64
+	firstView     chan struct{} // closed when the first view is published
+	firstViewOnce sync.Once
+	leaving       chan struct{} // closed by Leave
+	leaveOnce     sync.Once
+	// lastPacketAt is when the last caller's packet was read, as time since started.
+	lastPacketAt atomic.Int64
 }
 
-// New opens the addresses of cfg.
+// New creates an Edge and opens the addresses in cfg.
 func New(cfg Config, adapter Adapter, log *Log) (e *Edge, err error) {
 	defer func() { err = errors.Wrap(err, "make an edge") }()
 	if err = cfg.Check(); err != nil {
@@ -75,7 +75,7 @@
 	}
 	e = &Edge{
 		cfg: cfg, adapter: adapter, log: log, counts: newCounters(), started: time.Now(), grace: cfg.grace(),
-		known: make(chan struct{}), leaving: make(chan struct{}),
+		firstView: make(chan struct{}), leaving: make(chan struct{}),
 	}
 	e.steerer.AvailabilityZone = cfg.AvailabilityZone
 	e.steerer.Region = cfg.Region
@@ -84,7 +84,7 @@
 	e.steerer.OnEvent = e.onServerEvent
 	e.records.OnChange = e.onRecords
 	if err = e.listen(); err != nil {
-		e.closeAddresses()
+		e.closeListeners()
 		return nil, err
 	}
 	bound := e.Addresses()
@@ -105,7 +105,7 @@
 	if e.control, err = net.Listen("tcp", e.cfg.ControlAddress.String()); err != nil {
 		return errors.Wrap(err, "ControlAddress")
 	}
-	e.listenForMetrics()
+	e.listenMetrics()
 	if e.peers, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(e.cfg.PeerAddress)); err != nil {
 		return errors.Wrap(err, "PeerAddress")
 	}
@@ -113,10 +113,10 @@
 	return errors.Wrap(err, "DataAddress")
 }
 
-// listenForMetrics opens the address for metrics, if there is one. Packets don't
-// need it: if it can't be opened the node serves without, and says so. A node that
-// ended for it would be started again and again, and serve nobody.
-func (e *Edge) listenForMetrics() {
+// listenMetrics opens the metrics address, if configured. Forwarding doesn't depend on it,
+// so a failure is logged and the node runs without metrics: a node that exited instead
+// would be restarted again and again and serve nobody.
+func (e *Edge) listenMetrics() {
 	if !e.cfg.MetricsAddress.IsValid() {
 		return
 	}
@@ -128,9 +128,8 @@
 	e.metrics = l
 }
 
-// closeAddresses closes whatever is open. What was closed before says so,
-// which is of no interest.
-func (e *Edge) closeAddresses() {
+// closeListeners closes whatever is open. Errors are ignored: it may be closed already.
+func (e *Edge) closeListeners() {
 	if e.ready != nil {
 		_ = e.ready.Close()
 	}
@@ -148,12 +147,13 @@
 	}
 }
 
-// Addresses are what an Edge listens on.
+// Addresses are the addresses that an Edge listens on.
 type Addresses struct {
 	Data, Peer, Ready, Control, Metrics netip.AddrPort
 }
 
-// Addresses returns what was bound, where the settings have port 0.
+// Addresses returns the bound addresses. Where the settings have port 0, they have the
+// actual port.
 func (e *Edge) Addresses() (a Addresses) {
 	a.Data = e.data.LocalAddrPort()
 	a.Peer = e.peers.LocalAddr().(*net.UDPAddr).AddrPort()
@@ -165,7 +165,7 @@
 	return a
 }
 
-// Run serves until ctx is done or Leave has ended it.
+// Run serves until ctx is done, or until the node has left after a call of Leave.
 func (e *Edge) Run(ctx context.Context) (err error) {
 	defer func() { err = errors.Wrap(err, "run "+e.cfg.Name) }()
 	ctx, cancel := context.WithCancel(ctx)
@@ -173,8 +173,8 @@
 	e.log.Line("Started", Fields{"Name": e.cfg.Name, "AvailabilityZone": e.cfg.AvailabilityZone})
 	pool := pond.NewPool(0, pond.WithoutPanicRecovery())
 	pool.Submit(func() { _ = e.follower.Run(ctx) })
-	// The store's answer is on its way while the rest is set up: 5 ms sooner on a
-	// node with one core, for which callers wait after a power cut.
+	// Let the request to the store go out before the rest is set up. After a power cut this
+	// gets the records 5 ms sooner on a node with one core, while callers wait.
 	runtime.Gosched()
 	pool.Submit(func() { e.readPackets(ctx) })
 	pool.Submit(func() { e.releaseHeld(ctx) })
@@ -190,30 +190,30 @@
 	for _, server := range servers {
 		_ = server.Close()
 	}
-	e.closeAddresses()
+	e.closeListeners()
 	pool.StopAndWait()
 	e.log.Line("Stopped", Fields{"Name": e.cfg.Name})
 	return nil
 }
 
-// serve answers routers, other nodes and operators by HTTP until the servers that
-// it returns are closed.
+// serve starts the HTTP servers for routers, other nodes and operators. The caller closes
+// them.
 func (e *Edge) serve(pool pond.Pool) (servers []*http.Server) {
-	begin := func(l net.Listener, handler http.Handler) {
+	start := func(l net.Listener, handler http.Handler) {
 		server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout}
 		servers = append(servers, server)
 		pool.Submit(func() { _ = server.Serve(l) })
 	}
-	begin(e.ready, e.readyHandler())
-	begin(e.control, e.controlHandler())
+	start(e.ready, e.readyHandler())
+	start(e.control, e.controlHandler())
 	if e.metrics != nil {
-		begin(e.metrics, e.metricsHandler())
+		start(e.metrics, e.metricsHandler())
 	}
 	return servers
 }
 
-// Leave makes the node not ready for good and ends it when no more packets
-// come, or its grace is over.
+// Leave makes the node permanently not ready. Run returns once packets stop coming or the
+// grace time is over.
 func (e *Edge) Leave() {
 	e.leaveOnce.Do(func() {
 		e.log.Line("Leaving", Fields{"Name": e.cfg.Name})
@@ -222,9 +222,9 @@
 	})
 }
 
-// Reload takes in changed settings. Those that name this node or its addresses
-// are in force from the next start on. Settings with an error leave the old
-// ones in force.
+// Reload applies changed settings. Only Seeds and GraceSeconds change in a running node;
+// other fields take effect at the next start. If err is not nil, the old settings stay in
+// force.
 func (e *Edge) Reload(cfg Config, err error) {
 	if err != nil {
 		e.log.Line("SettingsRefused", Fields{"Error": err.Error()})
@@ -238,15 +238,15 @@
 }
 
 const (
-	// leaveLeast is the least time of leaving: routers must have asked twice.
-	leaveLeast = 1200 * time.Millisecond
-	// leaveMargin is how long before the end of its grace a node ends by
-	// itself.
+	// minLeaveTime is the least time that leaving takes, unless the grace time ends sooner:
+	// routers must have polled readiness twice.
+	minLeaveTime = 1200 * time.Millisecond
+	// leaveMargin is how long before the end of the grace time a node exits by itself.
 	leaveMargin = 500 * time.Millisecond
 )
 
 func (e *Edge) waitUntilQuiet(ctx context.Context) {
-	begun := time.Now()
+	start := time.Now()
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
@@ -255,9 +255,9 @@
 			return
 		case <-ticker.C:
 		}
-		passed := time.Since(begun)
-		quiet := time.Since(e.started) - time.Duration(e.packetAt.Load())
-		if passed >= e.graceTime()-leaveMargin || passed >= leaveLeast && quiet >= e.cfg.quiet() {
+		elapsed := time.Since(start)
+		quiet := time.Since(e.started) - time.Duration(e.lastPacketAt.Load())
+		if elapsed >= e.graceTime()-leaveMargin || elapsed >= minLeaveTime && quiet >= e.cfg.quiet() {
 			return
 		}
 	}
@@ -279,15 +279,15 @@
 	}
 }
 
-// tick looks at timers until ctx is done.
+// tick runs the periodic work until ctx is done.
 func (e *Edge) tick(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	w := e.newWorker()
 	now := time.Now()
 	e.pauses.begin(now)
-	// The seeds are asked at once: a peer may have all records before the store has
-	// answered for them.
+	// Contact the seeds at once: a peer may have all records before the store has answered
+	// with them.
 	e.gossip.Tick(now)
 	for {
 		select {
--- a/bronzeedge/export_test.go
+++ b/bronzeedge/export_test.go
@@ -16,7 +16,7 @@
 }
 
 func newTaker(adapter Adapter, out io.Writer) *Edge {
-	e := &Edge{adapter: adapter, log: NewLog(out), started: time.Now(), known: make(chan struct{}), counts: newCounters()}
+	e := &Edge{adapter: adapter, log: NewLog(out), started: time.Now(), firstView: make(chan struct{}), counts: newCounters()}
 	e.records.OnChange = e.onRecords
 	return e
 }
@@ -29,5 +29,5 @@
 	e.records.Apply(d)
 	timed(func() { e.records.Apply(restored) })
 	whole, _ := e.records.Since(bronzerecord.Position{})
-	return e.zipped.delta(whole)
+	return e.deltas.delta(whole)
 }
--- a/bronzeedge/packets.go
+++ b/bronzeedge/packets.go
@@ -69,7 +69,7 @@
 			continue
 		}
 		now := time.Now()
-		e.packetAt.Store(int64(now.Sub(e.started)))
+		e.lastPacketAt.Store(int64(now.Sub(e.started)))
 		for i := range w.in[:n] {
 			w.handle(w.in[i].Buf[:w.in[i].N], now)
 		}
@@ -217,7 +217,7 @@
 	select {
 	case <-ctx.Done():
 		return
-	case <-e.known:
+	case <-e.firstView:
 	}
 	e.held.mu.Lock()
 	packets := e.held.packets
--- a/bronzeedge/pause.go
+++ b/bronzeedge/pause.go
@@ -181,7 +181,7 @@
 		e.count("NoBootClock")
 		return 0
 	}
-	return e.suspended.gap(time.Duration(boot.Nano()), time.Since(e.started))
+	return e.suspensions.gap(time.Duration(boot.Nano()), time.Since(e.started))
 }
 
 // noteConfirmed ends the doubt in the records after a pause, once the store has confirmed
--- a/bronzeedge/peers.go
+++ b/bronzeedge/peers.go
@@ -35,18 +35,18 @@
 	sinceQuery = "Since"
 	// fetchTimeout bounds a fetch; all records of 5,100 servers are 1.5 MB.
 	fetchTimeout = 1500 * time.Millisecond
-	// maxCopies bounds the peers that get all records at a time. After a power
+	// maxFullCopies bounds the peers that get all records at a time. After a power
 	// cut hundreds ask at once; answered all at once over a slow link none has
 	// its answer before it gives up, and all ask again. Those refused ask
 	// whoever they hear of next, and by then there are more that can answer.
-	maxCopies = 3
+	maxFullCopies = 3
 	// maxRecords bounds what a peer may answer, in bytes.
 	maxRecords = 16 << 20
 )
 
 // connectPeers sets the gossip up.
 func (e *Edge) connectPeers() {
-	e.fetches = &http.Client{Timeout: fetchTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+	e.fetchClient = &http.Client{Timeout: fetchTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	public := e.cfg.PeerPublicAddress
 	if !public.IsValid() {
 		public = e.cfg.PeerAddress
@@ -152,7 +152,7 @@
 	e.lookForPause()
 	now := time.Now()
 	reads := e.gossip.ShouldRead(now)
-	if e.reading.Swap(reads) != reads {
+	if e.wasReading.Swap(reads) != reads {
 		p := e.records.Position()
 		e.log.Line("ReadsStore", Fields{
 			"Reads": reads, "Epoch": p.Epoch, "Revision": p.Revision, "ConfirmedMS": e.gossip.SinceConfirmed(now).Milliseconds(),
@@ -291,7 +291,7 @@
 	if err != nil {
 		return err
 	}
-	res, err := e.fetches.Do(req)
+	res, err := e.fetchClient.Do(req)
 	if err != nil {
 		return err
 	}
@@ -325,20 +325,20 @@
 		return
 	}
 	if since.IsZero() || since.Epoch != e.records.Position().Epoch {
-		if e.copies.Add(1) > maxCopies {
-			e.copies.Add(-1)
+		if e.fullCopies.Add(1) > maxFullCopies {
+			e.fullCopies.Add(-1)
 			e.count("CopyRefused")
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		defer e.copies.Add(-1)
+		defer e.fullCopies.Add(-1)
 	}
 	d, ok := e.records.Since(since)
 	if !ok {
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
-	b, err := e.zipped.delta(d)
+	b, err := e.deltas.delta(d)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
--- a/bronzeedge/peers_test.go
+++ b/bronzeedge/peers_test.go
@@ -27,12 +27,12 @@
 	}
 	ask := func(since string) int { return askIn("0", since) }
 	require.Equal(t, http.StatusOK, ask("0"))
-	e.copies.Store(maxCopies)
+	e.fullCopies.Store(maxFullCopies)
 	require.Equal(t, http.StatusServiceUnavailable, ask("0"))
 	require.Equal(t, http.StatusOK, ask("7"))
-	e.copies.Store(maxCopies - 1)
+	e.fullCopies.Store(maxFullCopies - 1)
 	require.Equal(t, http.StatusOK, ask("0"))
-	require.EqualValues(t, maxCopies-1, e.copies.Load())
+	require.EqualValues(t, maxFullCopies-1, e.fullCopies.Load())
 	require.Equal(t, http.StatusBadRequest, ask("soon"))
 	require.Equal(t, http.StatusBadRequest, askIn("", "0"))
 	require.Equal(t, http.StatusNoContent, ask("8"))
@@ -44,13 +44,13 @@
 	e.records.Apply(bronzerecord.Delta{Epoch: 2, Whole: true, To: 7, Changed: []bronzerecord.Record{{Name: "routes", Revision: 7}}})
 	server := httptest.NewServer(http.HandlerFunc(e.answerRecords))
 	defer server.Close()
-	asker := &Edge{fetches: server.Client()}
+	asker := &Edge{fetchClient: server.Client()}
 	address := netip.MustParseAddrPort(server.Listener.Addr().String())
 	d, err := asker.fetchRecords(address, bronzerecord.Position{Epoch: 1, Revision: 90})
 	require.NoError(t, err)
 	require.True(t, d.Whole)
 	require.EqualValues(t, 2, d.Epoch)
-	e.copies.Store(maxCopies)
+	e.fullCopies.Store(maxFullCopies)
 	_, err = asker.fetchRecords(address, bronzerecord.Position{Epoch: 1, Revision: 90})
 	require.ErrorContains(t, err, "503")
 }
@@ -60,7 +60,7 @@
 	e := &Edge{counts: newCounters()}
 	server := httptest.NewServer(http.HandlerFunc(e.answerFormer))
 	defer server.Close()
-	asker := &Edge{fetches: server.Client()}
+	asker := &Edge{fetchClient: server.Client()}
 	address := netip.MustParseAddrPort(server.Listener.Addr().String())
 	var r bronzerecord.LostHistory
 	require.ErrorContains(t, asker.get(address, formerPath, nil, &r), "204")
--- a/bronzeedge/ready.go
+++ b/bronzeedge/ready.go
@@ -22,7 +22,7 @@
 	timer := time.NewTimer(readyWait)
 	defer timer.Stop()
 	select {
-	case <-e.known:
+	case <-e.firstView:
 	case <-e.leaving:
 	case <-timer.C:
 	case <-r.Context().Done():
--- a/bronzeedge/recall.go
+++ b/bronzeedge/recall.go
@@ -35,7 +35,7 @@
 }
 
 func (e *Edge) recallZone(zone string, l *bronzerecord.LostRecord, until time.Time) (changed bool) {
-	if zone == "" || !l.Absent || !e.book.directory.RecallZone(zone, until) {
+	if zone == "" || !l.Absent || !e.routing.directory.RecallZone(zone, until) {
 		return false
 	}
 	e.count("ZoneDrained")
@@ -49,7 +49,7 @@
 		"Until": until.UTC(),
 	}
 	if l.Removed {
-		changed = e.book.directory.RecallRemoved(instance, until)
+		changed = e.routing.directory.RecallRemoved(instance, until)
 	} else {
 		s, err := e.adapter.Decoder.Server(l.Record, now)
 		if err != nil {
@@ -57,7 +57,7 @@
 			return false
 		}
 		fields["Draining"] = s.Draining
-		changed = e.book.directory.RecallServer(s, l.Absent, now, until)
+		changed = e.routing.directory.RecallServer(s, l.Absent, now, until)
 	}
 	if changed {
 		e.count("ServerRecalled")
--- a/bronzeedge/recall_test.go
+++ b/bronzeedge/recall_test.go
@@ -105,7 +105,7 @@
 	if d.nodes[i] != nil {
 		d.nodes[i].edge.log.Close()
 	}
-	e := &Edge{counts: newCounters(), log: NewLog(io.Discard), started: time.Now(), known: make(chan struct{})}
+	e := &Edge{counts: newCounters(), log: NewLog(io.Discard), started: time.Now(), firstView: make(chan struct{})}
 	e.adapter.Decoder = testDecoder()
 	e.gossip.Records = &e.records
 	e.records.OnChange = e.onRecords
--- a/bronzeedge/records.go
+++ b/bronzeedge/records.go
@@ -18,8 +18,8 @@
 // onRecords takes in what changed in the records.
 func (e *Edge) onRecords(c bronzerecord.Change) {
 	now := time.Now()
-	e.book.mu.Lock()
-	defer e.book.mu.Unlock()
+	e.routing.mu.Lock()
+	defer e.routing.mu.Unlock()
 	first, changed := !e.hasView(), false
 	for _, r := range c.Changed {
 		changed = e.takeRecord(r, c.Position.Epoch, first, now) || changed
@@ -50,7 +50,7 @@
 	if !ok {
 		return false
 	}
-	e.book.directory.Unregister(instance, now)
+	e.routing.directory.Unregister(instance, now)
 	e.log.Line("Unregistered", Fields{"Instance": instance, "Epoch": at.Epoch, "Revision": at.Revision})
 	return true
 }
@@ -58,7 +58,7 @@
 // hasView reports whether the node has had a view.
 func (e *Edge) hasView() bool {
 	select {
-	case <-e.known:
+	case <-e.firstView:
 		return true
 	default:
 		return false
@@ -86,10 +86,10 @@
 	s, err := e.adapter.Decoder.Server(r, now)
 	if err != nil {
 		e.refuse(r, epoch, err)
-		e.book.directory.Unregister(instance, now)
+		e.routing.directory.Unregister(instance, now)
 		return true
 	}
-	taken := e.book.directory.Register(s)
+	taken := e.routing.directory.Register(s)
 	if first && taken {
 		return true
 	}
@@ -114,7 +114,7 @@
 		e.refuse(r, epoch, err)
 		return false
 	}
-	if !e.book.directory.SetTable(t, now) {
+	if !e.routing.directory.SetTable(t, now) {
 		return false
 	}
 	e.log.Line("TableInForce", Fields{
@@ -130,10 +130,10 @@
 
 // advance lets time pass in the directory.
 func (e *Edge) advance(now time.Time) {
-	e.book.mu.Lock()
-	defer e.book.mu.Unlock()
+	e.routing.mu.Lock()
+	defer e.routing.mu.Unlock()
 	// While the node stood still, servers that seemed missing may have come back.
-	if !e.pauses.isUnsure() && e.book.directory.Advance(now) {
+	if !e.pauses.isUnsure() && e.routing.directory.Advance(now) {
 		e.publish()
 	}
 }
@@ -141,14 +141,14 @@
 // publish hands the directory's view to the decisions; the caller holds the
 // lock.
 func (e *Edge) publish() {
-	v := e.book.directory.View()
+	v := e.routing.directory.View()
 	if v == nil {
 		return
 	}
 	e.steerer.SetView(v)
-	e.knownOnce.Do(func() {
+	e.firstViewOnce.Do(func() {
 		e.log.Line("Ready", Fields{"AfterMS": time.Since(e.started).Milliseconds(), "Version": v.Table.Version, "Servers": len(v.Servers)})
-		close(e.known)
+		close(e.firstView)
 	})
 }
 
--- a/bronzeedge/zones.go
+++ b/bronzeedge/zones.go
@@ -13,7 +13,7 @@
 	if err := e.adapter.Decoder.CheckDrain(r); err != nil {
 		e.refuse(r, epoch, err)
 	}
-	if zone == "" || !e.book.directory.DrainZone(zone) {
+	if zone == "" || !e.routing.directory.DrainZone(zone) {
 		return false
 	}
 	_, known := e.cfg.Regions[zone]
@@ -24,7 +24,7 @@
 
 // returnZone lets new flows go to an AvailabilityZone's servers again.
 func (e *Edge) returnZone(zone string, at bronzerecord.Position, now time.Time) (changed bool) {
-	if !e.book.directory.UndrainZone(zone, now) {
+	if !e.routing.directory.UndrainZone(zone, now) {
 		return false
 	}
 	e.count("ZoneReturned")
