--- a/bronzeedge/edge.go
+++ b/bronzeedge/edge.go
@@ -38,7 +38,7 @@
 	records  bronzerecord.Set
 	follower bronzerecord.Follower
 	routing  book
-	held     held
+	held     heldPackets
 	cfgMu    sync.Mutex
 	grace    time.Duration // guarded by cfgMu
 
@@ -300,8 +300,8 @@
 		e.gossip.Tick(now)
 		e.noteConfirmed(now)
 		e.counts.knowledge.RecordDuration(e.gossip.SinceConfirmed(now))
-		for _, ending := range e.steerer.Sweep(now) {
-			w.end(&ending)
+		for _, ended := range e.steerer.Sweep(now) {
+			w.endFlow(&ended)
 		}
 		w.flush()
 		e.tellReports(now)
--- a/bronzeedge/hedge.go
+++ b/bronzeedge/hedge.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// drainWait is how long a node reads on after an opening is overdue before it sends it
-// to a further server. A read that begins after its deadline doesn't look for packets at
-// all: of a node that was late, the answers may wait in the socket.
-const drainWait = time.Millisecond
+// finalReadWait is how long the node keeps reading after an opening is overdue, before it
+// hedges the opening. A read whose deadline has passed doesn't check for packets at all, so
+// if the node itself was late, the answers may already wait in the socket.
+const finalReadWait = time.Millisecond
 
-// setDeadline has reading end when the next opening is overdue.
-func (w *worker) setDeadline() {
-	if w.overdue {
+// setHedgeDeadline makes reading end when the next opening is overdue.
+func (w *worker) setHedgeDeadline() {
+	if w.deadlinePassed {
 		return
 	}
 	at, ok := w.edge.steerer.NextHedge()
 	if !ok {
 		at = time.Time{}
 	}
-	w.readUntil(at)
+	w.setReadDeadline(at)
 }
 
-func (w *worker) readUntil(at time.Time) {
+func (w *worker) setReadDeadline(at time.Time) {
 	if at.Equal(w.deadline) {
 		return
 	}
@@ -29,19 +29,20 @@
 	}
 }
 
-// waitedInVain notes that no packet came before reading was to end.
-func (w *worker) waitedInVain() {
-	if w.overdue {
+// readTimedOut handles a read that ended at its deadline without a packet. The first time
+// it allows finalReadWait for packets that already wait in the socket; then it hedges.
+func (w *worker) readTimedOut() {
+	if w.deadlinePassed {
 		w.hedge()
 		return
 	}
-	w.overdue = true
-	w.readUntil(time.Now().Add(drainWait))
+	w.deadlinePassed = true
+	w.setReadDeadline(time.Now().Add(finalReadWait))
 }
 
-// hedge sends openings that are overdue to further servers. No packet waits in the socket.
+// hedge sends overdue openings to further servers. The socket must hold no unread packets.
 func (w *worker) hedge() {
-	w.overdue = false
+	w.deadlinePassed = false
 	now := time.Now()
 	for _, h := range w.edge.steerer.Hedges(now) {
 		w.forward(h.Packet.Bytes, &h.Decision)
@@ -52,8 +53,8 @@
 	w.edge.tellReports(now)
 }
 
-// wakeReader has the goroutine that reads packets look for openings to wait for, which
-// another one has taken.
+// wakeReader interrupts the goroutine that reads packets, so that it sets its deadline for
+// openings that another goroutine has handled.
 func (e *Edge) wakeReader() {
 	if err := e.data.SetReadDeadline(time.Now()); err != nil {
 		e.count("NoReadDeadline")
--- a/bronzeedge/packets.go
+++ b/bronzeedge/packets.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	// batchSize is how many datagrams are read at once.
+	// batchSize is the maximum number of datagrams in one read.
 	batchSize = 32
-	// maxHeld bounds the packets that wait for the first view.
-	maxHeld = 512
+	// maxHeldPackets bounds the packets held until the first view.
+	maxHeldPackets = 512
 )
 
-// worker handles packets of one goroutine.
+// worker handles packets on one goroutine.
 type worker struct {
 	edge *Edge
 	in   []bronzesocket.Datagram
 	out  []bronzesocket.Datagram
-	// deadline is that of reading, the zero time for none, and overdue tells that it has
-	// passed since an opening was last sent to a further server.
-	deadline time.Time
-	overdue  bool
+	// deadline is the current read deadline, zero for none. deadlinePassed says that a read
+	// has timed out since the worker last hedged.
+	deadline       time.Time
+	deadlinePassed bool
 }
 
-// held are the packets that came before the first view.
-type held struct {
+// heldPackets are the packets that arrived before the first view.
+type heldPackets struct {
 	mu      sync.Mutex
 	packets [][]byte
 }
@@ -51,14 +51,14 @@
 		w.in[i].Buf = make([]byte, e.adapter.Wire.MaxDatagram)
 	}
 	for ctx.Err() == nil {
-		w.setDeadline()
+		w.setHedgeDeadline()
 		n, err := e.data.ReadBatch(w.in)
 		e.lookForPause()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			w.waitedInVain()
+			w.readTimedOut()
 			continue
 		}
 		if err != nil {
@@ -73,17 +73,17 @@
 		for i := range w.in[:n] {
 			w.handle(w.in[i].Buf[:w.in[i].N], now)
 		}
-		// One clock reading for all packets that were read at once.
+		// The mean of the batch, so that the clock is read once for all its packets.
 		e.counts.deciding.RecordDuration(time.Since(now) / time.Duration(max(n, 1)))
 		w.flush()
-		if w.overdue && n < len(w.in) {
+		if w.deadlinePassed && n < len(w.in) {
 			w.hedge()
 		}
 		e.tellReports(now)
 	}
 }
 
-// handle decides on one packet.
+// handle decides on one packet and carries out the decision.
 func (w *worker) handle(b []byte, now time.Time) {
 	e := w.edge
 	p, err := e.adapter.Wire.Parse(b)
@@ -116,34 +116,34 @@
 	e.logDecision(&p, &d, now)
 }
 
-// forward sends a packet to the server that was decided on.
+// forward sends a packet to the server that was chosen.
 func (w *worker) forward(b []byte, d *bronzesteer.Decision) {
-	to := w.next(d.Server.Address)
+	to := w.nextDatagram(d.Server.Address)
 	to.Buf = w.edge.adapter.Wire.AppendForward(to.Buf[:0], b, d.Server.Incarnation, d.Token)
 	to.N = len(to.Buf)
 }
 
-// reset sends a caller the end of its flow, in answer to p.
+// reset sends the caller of p a reset that ends its flow.
 func (w *worker) reset(p *bronzesteer.Packet) {
-	to := w.next(netip.AddrPortFrom(p.Key.CallerAddrPort().Addr(), w.edge.cfg.DataAddress.Port()))
+	to := w.nextDatagram(netip.AddrPortFrom(p.Key.CallerAddrPort().Addr(), w.edge.cfg.DataAddress.Port()))
 	to.Buf = w.edge.adapter.Wire.AppendReset(to.Buf[:0], p)
 	to.N = len(to.Buf)
 }
 
-// end ends a flow of which no packet came.
-func (w *worker) end(ending *bronzesteer.EndedFlow) {
-	w.reset(&ending.Packet)
-	d := bronzesteer.Decision{Kind: bronzesteer.End, Reason: ending.Reason}
+// endFlow resets a flow that is ended although no packet of it came.
+func (w *worker) endFlow(ended *bronzesteer.EndedFlow) {
+	w.reset(&ended.Packet)
+	d := bronzesteer.Decision{Kind: bronzesteer.End, Reason: ended.Reason}
 	w.edge.counts.decision(&d)
 	w.edge.log.Line("Ended", Fields{
-		"Caller": ending.Packet.Key.CallerAddrPort().String(), "Service": ending.Packet.Key.ServiceAddrPort().String(),
-		"Server": ending.Instance, "Reason": ending.Reason.String(),
+		"Caller": ended.Packet.Key.CallerAddrPort().String(), "Service": ended.Packet.Key.ServiceAddrPort().String(),
+		"Server": ended.Instance, "Reason": ended.Reason.String(),
 	})
 }
 
-// logDecision logs what is decided of a flow's beginning and end, with what
-// decided it: the version of the routes, how long ago the store confirmed this
-// node's records, and the servers.
+// logDecision logs a decision, except for packets that are steered by their token and those
+// before the first view. The line has what the decision was based on: the version of the
+// table, the time since the store confirmed this node's records, and the servers.
 func (e *Edge) logDecision(p *bronzesteer.Packet, d *bronzesteer.Decision, now time.Time) {
 	if d.Reason == bronzesteer.Steered || d.Reason == bronzesteer.NoView {
 		return
@@ -173,8 +173,9 @@
 	e.log.Line("Flow", fields)
 }
 
-// next returns an empty datagram to send, with a buffer of an earlier one.
-func (w *worker) next(to netip.AddrPort) *bronzesocket.Datagram {
+// nextDatagram returns the next free datagram of the output batch, reusing its buffer. It
+// flushes a full batch first.
+func (w *worker) nextDatagram(to netip.AddrPort) *bronzesocket.Datagram {
 	if len(w.out) == cap(w.out) {
 		w.flush()
 	}
@@ -187,8 +188,8 @@
 	return d
 }
 
-// flush sends what is to be sent. A datagram that can't be sent is lost, as
-// any may be.
+// flush sends the output batch. A datagram that can't be sent is skipped: UDP may lose any
+// datagram.
 func (w *worker) flush() {
 	for out := w.out; len(out) > 0; {
 		n, err := w.edge.data.WriteBatch(out)
@@ -201,18 +202,18 @@
 	w.out = w.out[:0]
 }
 
-// hold keeps a packet until there is a view: dropped, its caller would repeat
+// hold keeps a packet until the first view. If it were dropped, its caller would retransmit
 // it only after 200 ms or more.
 func (w *worker) hold(b []byte) {
 	h := &w.edge.held
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.packets) < maxHeld {
+	if len(h.packets) < maxHeldPackets {
 		h.packets = append(h.packets, append([]byte(nil), b...))
 	}
 }
 
-// releaseHeld handles the packets that waited, once there is a view.
+// releaseHeld handles the held packets once there is a view.
 func (e *Edge) releaseHeld(ctx context.Context) {
 	select {
 	case <-ctx.Done():
