--- a/bronzeedge/edge.go
+++ b/bronzeedge/edge.go
@@ -50,8 +50,8 @@
 	wasReading  atomic.Bool  // last result of readsStore, as logged
 	store       storeState   // used only by the follower
 
-	suspensions suspension
-	pauses      pauses
+	suspensions suspensionDetector
+	pauses      pauseDetector
 
 	data    *bronzesocket.Socket
 	peers   *net.UDPConn
@@ -285,7 +285,7 @@
 	defer ticker.Stop()
 	w := e.newWorker()
 	now := time.Now()
-	e.pauses.begin(now)
+	e.pauses.start(now)
 	// Contact the seeds at once: a peer may have all records before the store has answered
 	// with them.
 	e.gossip.Tick(now)
@@ -295,10 +295,10 @@
 			return
 		case <-ticker.C:
 		}
-		e.lookForPause()
+		e.detectPause()
 		now := time.Now()
 		e.gossip.Tick(now)
-		e.noteConfirmed(now)
+		e.checkConfirmed(now)
 		e.counts.knowledge.RecordDuration(e.gossip.SinceConfirmed(now))
 		for _, ended := range e.steerer.Sweep(now) {
 			w.endFlow(&ended)
--- a/bronzeedge/packets.go
+++ b/bronzeedge/packets.go
@@ -53,7 +53,7 @@
 	for ctx.Err() == nil {
 		w.setHedgeDeadline()
 		n, err := e.data.ReadBatch(w.in)
-		e.lookForPause()
+		e.detectPause()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
--- a/bronzeedge/pause.go
+++ b/bronzeedge/pause.go
@@ -10,167 +10,170 @@
 )
 
 const (
-	// suspendedLeast is how far the two clocks must have come apart for the VM to have
-	// been suspended. Between readings of the two a thread may wait some milliseconds.
-	suspendedLeast = 250 * time.Millisecond
-	// pauseLeast is for how long no loop of the node must have gone on for it to have
-	// stood still. One looks at timers every tickInterval; a node with a twentieth of a
-	// core that reads all records gives its loops turns some 200 ms apart.
-	pauseLeast = 500 * time.Millisecond
-	// wantedFor is for how long a caller wants what it has sent: one whose opening nobody
-	// accepted gives up after that, and data was repeated twice, by ways that routers have
-	// found since.
-	wantedFor = 1400 * time.Millisecond
+	// minSuspension is how far the two clocks must diverge for the VM to count as
+	// suspended. Between reading one clock and the other, a thread may wait some
+	// milliseconds.
+	minSuspension = 250 * time.Millisecond
+	// minPause is how long no loop of the node must have run for the process to count as
+	// paused. One loop runs every tickInterval; on a node with a twentieth of a core that
+	// reads all records, loops run some 200 ms apart.
+	minPause = 500 * time.Millisecond
+	// callerTimeout is how long a caller still wants a packet that it sent. A caller whose
+	// opening nobody accepts gives up after that; data has been retransmitted twice by
+	// then, on paths that routers have found since.
+	callerTimeout = 1400 * time.Millisecond
 )
 
-// suspension finds the time for which the VM was suspended, which the steady clock
-// doesn't count, and the clock since boot does. Without it a node that was suspended
-// for seconds tells others that the store confirmed its records a moment ago.
-type suspension struct {
-	mu    sync.Mutex
-	begun bool
-	// apart is by how much the clock since boot is ahead.
-	apart time.Duration
+// suspensionDetector detects time during which the VM was suspended. The monotonic clock
+// doesn't count that time, the clock since boot does. Undetected, a node that was suspended
+// for seconds would tell others that the store confirmed its records a moment ago.
+type suspensionDetector struct {
+	mu      sync.Mutex
+	started bool
+	// offset is how far the clock since boot is ahead of the monotonic clock.
+	offset time.Duration
 }
 
-// gap returns for how long the VM was suspended since the last call, by the time
-// since boot and that of the steady clock, both from any beginning.
-func (s *suspension) gap(boot, steady time.Duration) time.Duration {
+// gap returns for how long the VM was suspended since the last call. boot and monotonic are
+// readings of the two clocks, each from any origin.
+func (s *suspensionDetector) gap(boot, monotonic time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	apart := boot - steady
-	if !s.begun {
-		s.begun, s.apart = true, apart
+	offset := boot - monotonic
+	if !s.started {
+		s.started, s.offset = true, offset
 		return 0
 	}
-	gap := apart - s.apart
-	if gap < suspendedLeast {
+	gap := offset - s.offset
+	if gap < minSuspension {
 		return 0
 	}
-	s.apart = apart
+	s.offset = offset
 	return gap
 }
 
-// pauses finds the times for which the process stood still while the steady clock ran
-// on, and keeps what follows from the last pause. Its methods may be called concurrently.
-type pauses struct {
-	// looking is held while a pause is looked for and taken in, so that no loop goes on
-	// before everything knows of it.
-	looking sync.Mutex
-
-	mu    sync.Mutex
-	begun bool
-	// ranAt is when a loop last went on, endedAt when the last pause was found, the zero
-	// time if there was none, and unsure says that the records weren't confirmed since.
-	ranAt   time.Time
-	endedAt time.Time
-	unsure  bool
-	// oldPackets and oldNews say that what waits for reading came during a pause:
-	// callers' packets, and other nodes' messages.
-	oldPackets bool
-	oldNews    bool
-}
-
-// begin has pauses be looked for from now on.
-func (p *pauses) begin(now time.Time) {
+// pauseDetector detects times during which the process didn't run while the monotonic clock
+// went on, and keeps the consequences of the last pause. Its methods may be called
+// concurrently.
+type pauseDetector struct {
+	// detecting is held while a pause is detected and handled, so that no loop goes on
+	// before all components know of the pause.
+	detecting sync.Mutex
+
+	mu      sync.Mutex
+	started bool
+	// lastRunAt is when a loop last ran, and endedAt when the last pause was detected, zero
+	// if there was none. unconfirmed says that the records weren't confirmed since.
+	lastRunAt   time.Time
+	endedAt     time.Time
+	unconfirmed bool
+	// oldPackets and oldMessages say that callers' packets and other nodes' messages that
+	// wait to be read arrived during a pause.
+	oldPackets  bool
+	oldMessages bool
+}
+
+// start enables the detection of pauses.
+func (p *pauseDetector) start(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.begun, p.ranAt = true, now
+	p.started, p.lastRunAt = true, now
 }
 
-// gap returns for how long no loop went on until now, 0 if that is no pause.
-func (p *pauses) gap(now time.Time) (d time.Duration) {
+// gap returns how long no loop has run before now, or 0 if that is too short for a pause.
+func (p *pauseDetector) gap(now time.Time) (d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.begun {
+	if !p.started {
 		return 0
 	}
-	d = now.Sub(p.ranAt)
-	p.ranAt = now
-	if d < pauseLeast {
+	d = now.Sub(p.lastRunAt)
+	p.lastRunAt = now
+	if d < minPause {
 		return 0
 	}
 	return d
 }
 
-// end notes that a pause has ended that took d.
-func (p *pauses) end(now time.Time, d time.Duration) {
+// pauseEnded records the end of a pause of length d.
+func (p *pauseDetector) pauseEnded(now time.Time, d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.endedAt, p.unsure = now, true
-	p.oldPackets = p.oldPackets || d >= wantedFor
-	p.oldNews = true
+	p.endedAt, p.unconfirmed = now, true
+	p.oldPackets = p.oldPackets || d >= callerTimeout
+	p.oldMessages = true
 }
 
-// since reports whether there was a pause in the last d.
-func (p *pauses) since(now time.Time, d time.Duration) bool {
+// endedWithin reports whether a pause ended within the last d.
+func (p *pauseDetector) endedWithin(now time.Time, d time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !p.endedAt.IsZero() && now.Sub(p.endedAt) <= d
 }
 
-// interrupts reports whether the loop that calls it stood still since any went on last.
-func (p *pauses) interrupts(now time.Time) bool {
+// wasInterrupted reports whether there was a pause that gap hasn't detected yet.
+func (p *pauseDetector) wasInterrupted(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.begun && now.Sub(p.ranAt) >= pauseLeast
+	return p.started && now.Sub(p.lastRunAt) >= minPause
 }
 
-// confirm takes in how long ago the store confirmed the records, and reports whether that
-// is the first time since the pause, and how long after it.
-func (p *pauses) confirm(now time.Time, ago time.Duration) (first bool, after time.Duration) {
+// confirm takes the time since the store confirmed the records. It reports whether that is
+// the first confirmation since the pause, and how long after the pause it is now.
+func (p *pauseDetector) confirm(now time.Time, ago time.Duration) (first bool, after time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	after = now.Sub(p.endedAt)
-	if !p.unsure || ago >= after {
+	if !p.unconfirmed || ago >= after {
 		return false, 0
 	}
-	p.unsure = false
+	p.unconfirmed = false
 	return true, after
 }
 
-// isUnsure reports whether the records may be out of date because of a pause.
-func (p *pauses) isUnsure() bool {
+// isUnconfirmed reports whether the records may be out of date because of a pause.
+func (p *pauseDetector) isUnconfirmed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.unsure
+	return p.unconfirmed
 }
 
-// dropsPackets reports, once after a pause, that what waits of callers' packets is old.
-func (p *pauses) dropsPackets() (drops bool) {
+// takeOldPackets reports, once after a pause, that waiting packets of callers are old.
+func (p *pauseDetector) takeOldPackets() (old bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	drops, p.oldPackets = p.oldPackets, false
-	return drops
+	old, p.oldPackets = p.oldPackets, false
+	return old
 }
 
-// dropsNews is the same for other nodes' messages.
-func (p *pauses) dropsNews() (drops bool) {
+// takeOldMessages reports, once after a pause, that waiting messages of other nodes are
+// old.
+func (p *pauseDetector) takeOldMessages() (old bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	drops, p.oldNews = p.oldNews, false
-	return drops
+	old, p.oldMessages = p.oldMessages, false
+	return old
 }
 
-// lookForPause finds out whether the node has stood still, and has all that depends on
-// time know it. Each loop calls it when it goes on, before it looks at what it has read:
-// what waited there tells of times that are past.
-func (e *Edge) lookForPause() {
-	e.pauses.looking.Lock()
-	defer e.pauses.looking.Unlock()
+// detectPause checks whether the node was paused or suspended, and informs all components
+// that depend on time. Each loop calls it in every iteration, before it handles what it has
+// read, since that may date from before or during the pause.
+func (e *Edge) detectPause() {
+	e.pauses.detecting.Lock()
+	defer e.pauses.detecting.Unlock()
 	suspended := e.suspendedFor()
 	now := time.Now()
 	paused := e.pauses.gap(now)
 	if paused+suspended == 0 {
 		return
 	}
-	e.pauses.end(now, paused+suspended)
+	e.pauses.pauseEnded(now, paused+suspended)
 	e.gossip.Paused(paused, suspended, now)
-	aside := e.steerer.Paused(now)
+	discarded := e.steerer.Paused(now)
 	e.count("Paused")
 	e.log.Line("Paused", Fields{
 		"ForMS": (paused + suspended).Milliseconds(), "SuspendedMS": suspended.Milliseconds(),
-		"Openings": aside.Openings, "Requests": aside.Requests, "Findings": aside.Findings,
+		"Openings": discarded.Openings, "Requests": discarded.Requests, "Findings": discarded.Findings,
 	})
 }
 
@@ -184,9 +187,9 @@
 	return e.suspensions.gap(time.Duration(boot.Nano()), time.Since(e.started))
 }
 
-// noteConfirmed ends the doubt in the records after a pause, once the store has confirmed
-// them to any node.
-func (e *Edge) noteConfirmed(now time.Time) {
+// checkConfirmed makes the steerer trust the records again after a pause, once the store
+// has confirmed them to any node.
+func (e *Edge) checkConfirmed(now time.Time) {
 	first, after := e.pauses.confirm(now, e.gossip.SinceConfirmed(now))
 	if !first {
 		return
@@ -195,12 +198,12 @@
 	e.log.Line("ConfirmedAfterPause", Fields{"AfterMS": after.Milliseconds()})
 }
 
-// dropOldPackets drops the callers' packets that waited in the socket during a pause, if
-// there was one. Their callers have repeated them since, or gone elsewhere. Sent on,
-// openings that nobody goes on with would take servers' connections, and let each of them
-// seem silent.
+// dropOldPackets drops callers' packets that waited in the socket during a pause, if one of
+// callerTimeout or more has ended. Their callers have retransmitted them or gone elsewhere. If openings that nobody
+// continues were forwarded, they would take up servers' connections and make each of those
+// servers look silent.
 func (e *Edge) dropOldPackets(read int) (dropped bool) {
-	if !e.pauses.dropsPackets() {
+	if !e.pauses.takeOldPackets() {
 		return false
 	}
 	n, err := e.data.Discard()
@@ -208,10 +211,11 @@
 	return true
 }
 
-// dropOldNews does the same with other nodes' messages. What they say is so many
-// milliseconds old is older by the pause, the store's word and findings as well.
-func (e *Edge) dropOldNews() (dropped bool) {
-	if !e.pauses.dropsNews() {
+// dropOldMessages drops other nodes' messages that waited during a pause, if one has ended.
+// The ages that they give, of the store's confirmation and of findings about servers, are
+// too low by the length of the pause.
+func (e *Edge) dropOldMessages() (dropped bool) {
+	if !e.pauses.takeOldMessages() {
 		return false
 	}
 	n, err := bronzesocket.Discard(e.peers)
--- a/bronzeedge/pause_test.go
+++ b/bronzeedge/pause_test.go
@@ -13,67 +13,67 @@
 	"bronzeusher.example/bronzeusher/bronzesocket"
 )
 
-// A VM is suspended for four seconds. Only the clock since boot shows it, and it
-// must show once: the records are then as old as they are.
-func TestSuspensionIsFoundOnce(t *testing.T) {
-	var s suspension
-	steady, apart := 5*time.Second, time.Hour
-	require.Zero(t, s.gap(steady+apart, steady), "the clocks begin apart")
-	steady += 100 * time.Millisecond
-	require.Zero(t, s.gap(steady+apart+3*time.Millisecond, steady))
-	apart += 4 * time.Second
-	require.Equal(t, 4*time.Second, s.gap(steady+apart, steady))
-	require.Zero(t, s.gap(steady+apart, steady))
+// A VM is suspended for four seconds, which only the clock since boot shows. The suspension
+// must be detected exactly once, so that the age of the records is right.
+func TestSuspensionDetectedOnce(t *testing.T) {
+	var s suspensionDetector
+	monotonic, offset := 5*time.Second, time.Hour
+	require.Zero(t, s.gap(monotonic+offset, monotonic), "the clocks start with an offset")
+	monotonic += 100 * time.Millisecond
+	require.Zero(t, s.gap(monotonic+offset+3*time.Millisecond, monotonic))
+	offset += 4 * time.Second
+	require.Equal(t, 4*time.Second, s.gap(monotonic+offset, monotonic))
+	require.Zero(t, s.gap(monotonic+offset, monotonic))
 }
 
-// Clocks that drift by a millisecond a second don't add up to a suspension that was
-// none until a quarter of a second has gathered, and are then taken as they are.
-func TestSlowDriftIsNoSuspension(t *testing.T) {
-	var s suspension
+// Clocks that drift apart by a millisecond a second don't count as a suspension before the
+// drift has added up to a quarter of a second.
+func TestSuspensionIgnoresSlowDrift(t *testing.T) {
+	var s suspensionDetector
 	s.gap(0, 0)
 	for i := range 249 {
 		require.Zero(t, s.gap(time.Duration(i)*(time.Second+time.Millisecond), time.Duration(i)*time.Second))
 	}
 }
 
-// The process stands still for three seconds, and the steady clock runs on. That shows
-// once, by no loop having gone on, and not before the loops run.
-func TestAPauseIsFoundOnce(t *testing.T) {
-	var p pauses
+// The process stops for three seconds while the monotonic clock runs on. The pause must be
+// detected once, from no loop having run, and not before the loops have started.
+func TestPauseDetectedOnce(t *testing.T) {
+	var p pauseDetector
 	now := time.Now()
 	require.Zero(t, p.gap(now.Add(time.Hour)))
-	p.begin(now)
+	p.start(now)
 	now = now.Add(tickInterval)
 	require.Zero(t, p.gap(now))
-	require.False(t, p.interrupts(now))
+	require.False(t, p.wasInterrupted(now))
 	now = now.Add(3 * time.Second)
-	require.True(t, p.interrupts(now))
+	require.True(t, p.wasInterrupted(now))
 	require.Equal(t, 3*time.Second, p.gap(now))
-	require.False(t, p.interrupts(now))
+	require.False(t, p.wasInterrupted(now))
 	require.Zero(t, p.gap(now.Add(tickInterval)))
 }
 
-// What the store confirmed before the pause or during it ends no doubt in the records;
-// the first word since does.
-func TestDoubtEndsWithTheStoresNextWord(t *testing.T) {
-	var p pauses
+// A confirmation by the store from before or during the pause doesn't make the records
+// trusted again; the first one after it does.
+func TestPauseConfirm(t *testing.T) {
+	var p pauseDetector
 	now := time.Now()
-	require.False(t, p.isUnsure())
-	p.end(now, 3*time.Second)
-	require.True(t, p.isUnsure())
+	require.False(t, p.isUnconfirmed())
+	p.pauseEnded(now, 3*time.Second)
+	require.True(t, p.isUnconfirmed())
 	now = now.Add(time.Second)
 	first, _ := p.confirm(now, 1500*time.Millisecond)
 	require.False(t, first)
-	require.True(t, p.isUnsure())
+	require.True(t, p.isUnconfirmed())
 	first, after := p.confirm(now, 100*time.Millisecond)
 	require.True(t, first)
 	require.Equal(t, time.Second, after)
-	require.False(t, p.isUnsure())
+	require.False(t, p.isUnconfirmed())
 	first, _ = p.confirm(now, 0)
 	require.False(t, first)
 }
 
-// newPausedEdge returns a node that has sockets and stood still for d.
+// newPausedEdge returns a node with sockets that was paused for d.
 func newPausedEdge(t *testing.T, d time.Duration) (e *Edge, log *bytes.Buffer) {
 	t.Helper()
 	log = &bytes.Buffer{}
@@ -88,8 +88,8 @@
 		require.NoError(t, e.data.Close())
 		require.NoError(t, e.peers.Close())
 	})
-	e.lookForPause()
-	e.pauses.begin(time.Now().Add(-d))
+	e.detectPause()
+	e.pauses.start(time.Now().Add(-d))
 	return e, log
 }
 
@@ -105,11 +105,11 @@
 	require.NoError(t, c.Close())
 }
 
-// A node stands still for five seconds. For the first of them routers still send it
-// callers' packets, more than it reads at once, and other nodes go on telling it news. All
-// of that is dropped when it wakes: the callers have gone elsewhere, and the news says of
-// things that are six seconds old that they are one second old. What comes then is read.
-func TestWhatWaitedDuringAPauseIsDropped(t *testing.T) {
+// A node is paused for five seconds. During the first second routers still send it callers'
+// packets, more than one read returns, and other nodes keep sending it messages. All of
+// these are dropped when it resumes: the callers have gone elsewhere, and the messages give
+// ages that are too low by the length of the pause. What arrives afterwards is read.
+func TestLongPauseDropsDatagrams(t *testing.T) {
 	e, log := newPausedEdge(t, 5*time.Second)
 	data := net.UDPAddrFromAddrPort(e.data.LocalAddrPort())
 	send(t, data, 3*batchSize)
@@ -120,41 +120,42 @@
 	}
 	n, err := e.data.ReadBatch(in)
 	require.NoError(t, err)
-	e.lookForPause()
+	e.detectPause()
 	require.True(t, e.dropOldPackets(n))
-	require.True(t, e.dropOldNews())
+	require.True(t, e.dropOldMessages())
 
 	send(t, data, 1)
 	n, err = e.data.ReadBatch(in)
 	require.NoError(t, err)
 	require.Equal(t, 1, n)
-	e.lookForPause()
+	e.detectPause()
 	require.False(t, e.dropOldPackets(n))
-	require.False(t, e.dropOldNews())
+	require.False(t, e.dropOldMessages())
 	e.log.Close()
 	require.Equal(t, []string{"Paused", "OldPacketsDropped", "OldNewsDropped"}, lines(t, log.String()))
 	require.Contains(t, log.String(), `"Dropped":96`)
 }
 
-// A node stands still for 700 ms. Its callers have repeated what they sent once or twice
-// and still wait: it is sent on, sooner than their next repetition would be.
-func TestPacketsThatAreStillWantedAreSentOnAfterAPause(t *testing.T) {
+// A node is paused for 700 ms. Its callers have retransmitted their packets once or twice
+// and still wait, so the packets are forwarded: that is sooner than the next
+// retransmission.
+func TestShortPauseKeepsPackets(t *testing.T) {
 	e, _ := newPausedEdge(t, 700*time.Millisecond)
 	defer e.log.Close()
-	e.lookForPause()
+	e.detectPause()
 	require.False(t, e.dropOldPackets(1))
-	require.True(t, e.dropOldNews())
+	require.True(t, e.dropOldMessages())
 }
 
-// A watch of the store is answered while the node stands still, and the node reads the
-// answer when it wakes. It must not tell others that the store confirmed its records a
-// moment ago: their callers would be sent to servers that have left meanwhile.
-func TestAnAnswerThatWaitedConfirmsNothing(t *testing.T) {
+// A watch of the store is answered while the node is paused, and the node reads the answer
+// when it resumes. It must not tell others that the store confirmed its records a moment
+// ago: their callers would be sent to servers that have left since.
+func TestPausedAnswerConfirmsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		e := &Edge{counts: newCounters(), log: NewLog(&out), started: time.Now()}
 		e.gossip.Records = &e.records
-		e.pauses.begin(time.Now())
+		e.pauses.start(time.Now())
 		watched := bronzerecord.Event{Kind: bronzerecord.Watched, Took: 10 * time.Millisecond}
 		e.onStoreEvent(watched)
 		require.Zero(t, e.gossip.SinceConfirmed(time.Now()))
@@ -166,10 +167,10 @@
 		watched.Took = 100 * time.Millisecond
 		e.onStoreEvent(watched)
 		require.Zero(t, e.gossip.SinceConfirmed(time.Now()))
-		e.pauses.begin(time.Now().Add(100 * time.Millisecond))
+		e.pauses.start(time.Now().Add(100 * time.Millisecond))
 		time.Sleep(100 * time.Millisecond)
 		e.onStoreEvent(bronzerecord.Event{Kind: bronzerecord.Loaded, Stale: true})
-		require.Equal(t, 100*time.Millisecond, e.gossip.SinceConfirmed(time.Now()), "nor does one that may be stale")
+		require.Equal(t, 100*time.Millisecond, e.gossip.SinceConfirmed(time.Now()), "a stale answer confirms nothing")
 		e.log.Close()
 	})
 }
--- a/bronzeedge/peers.go
+++ b/bronzeedge/peers.go
@@ -149,7 +149,7 @@
 // reads reports whether this node is to read the store now, and logs when that
 // changes.
 func (e *Edge) reads() bool {
-	e.lookForPause()
+	e.detectPause()
 	now := time.Now()
 	reads := e.gossip.ShouldRead(now)
 	if e.wasReading.Swap(reads) != reads {
@@ -192,7 +192,7 @@
 // sendPeer sends a message, unless the node stood still since it was put together: it says
 // how old things are.
 func (e *Edge) sendPeer(to netip.AddrPort, b []byte) {
-	if e.pauses.interrupts(time.Now()) {
+	if e.pauses.wasInterrupted(time.Now()) {
 		e.count("PeerNotSentLate")
 		return
 	}
@@ -216,8 +216,8 @@
 			continue
 		}
 		e.counts.received.add(n)
-		e.lookForPause()
-		if e.dropOldNews() {
+		e.detectPause()
+		if e.dropOldMessages() {
 			continue
 		}
 		now := time.Now()
--- a/bronzeedge/records.go
+++ b/bronzeedge/records.go
@@ -133,7 +133,7 @@
 	e.routing.mu.Lock()
 	defer e.routing.mu.Unlock()
 	// While the node stood still, servers that seemed missing may have come back.
-	if !e.pauses.isUnsure() && e.routing.directory.Advance(now) {
+	if !e.pauses.isUnconfirmed() && e.routing.directory.Advance(now) {
 		e.publish()
 	}
 }
@@ -188,14 +188,14 @@
 
 // onStoreEvent spreads what the store answers, and logs it.
 func (e *Edge) onStoreEvent(ev bronzerecord.Event) {
-	e.lookForPause()
+	e.detectPause()
 	e.noteStore(ev, time.Now())
 	changed, removed := len(ev.Delta.Changed), len(ev.Delta.Removed)
 	if ev.Kind == bronzerecord.Loaded || ev.Kind == bronzerecord.Watched {
 		now := time.Now()
 		// An answer that waited while the node stood still says what was true before, and
 		// one that may be stale what was true some seconds ago.
-		if !ev.Stale && !e.pauses.since(now, ev.Took) {
+		if !ev.Stale && !e.pauses.endedWithin(now, ev.Took) {
 			e.gossip.StoreConfirmed(now)
 		}
 		if changed+removed > 0 {
