--- a/bronzeedge/edge.go
+++ b/bronzeedge/edge.go
@@ -45,7 +45,7 @@
 	gossip      bronzegossip.Gossip
 	fetching    atomic.Bool
 	fetchClient *http.Client
-	deltas      zipped
+	deltas      deltaCache
 	fullCopies  atomic.Int32 // full copies of the records being sent to peers
 	wasReading  atomic.Bool  // last result of readsStore, as logged
 	store       storeState   // used only by the follower
@@ -89,9 +89,9 @@
 	}
 	bound := e.Addresses()
 	e.cfg.DataAddress, e.cfg.PeerAddress, e.cfg.ControlAddress = bound.Data, bound.Peer, bound.Control
-	e.connectPeers()
+	e.setUpGossip()
 	e.follower = bronzerecord.Follower{
-		Source: adapter.Source(e.counts.call), Set: &e.records, OnEvent: e.onStoreEvent, Active: e.reads,
+		Source: adapter.Source(e.counts.call), Set: &e.records, OnEvent: e.onStoreEvent, Active: e.readsStore,
 		Yield: func() bool { return e.gossip.Yields(time.Now()) },
 	}
 	return e, nil
@@ -178,7 +178,7 @@
 	runtime.Gosched()
 	pool.Submit(func() { e.readPackets(ctx) })
 	pool.Submit(func() { e.releaseHeld(ctx) })
-	pool.Submit(func() { e.readPeers(ctx) })
+	pool.Submit(func() { e.readPeerMessages(ctx) })
 	pool.Submit(func() { e.tick(ctx) })
 	servers := e.serve(pool)
 	select {
@@ -304,8 +304,8 @@
 			w.endFlow(&ended)
 		}
 		w.flush()
-		e.tellReports(now)
-		e.tellNear(now)
+		e.spreadReports(now)
+		e.updateZonePeers(now)
 		e.advance(now)
 	}
 }
--- a/bronzeedge/export_test.go
+++ b/bronzeedge/export_test.go
@@ -29,5 +29,5 @@
 	e.records.Apply(d)
 	timed(func() { e.records.Apply(restored) })
 	whole, _ := e.records.Since(bronzerecord.Position{})
-	return e.deltas.delta(whole)
+	return e.deltas.encode(whole)
 }
--- a/bronzeedge/hedge.go
+++ b/bronzeedge/hedge.go
@@ -50,7 +50,7 @@
 		w.edge.logDecision(&h.Packet, &h.Decision, now)
 	}
 	w.flush()
-	w.edge.tellReports(now)
+	w.edge.spreadReports(now)
 }
 
 // wakeReader interrupts the goroutine that reads packets, so that it sets its deadline for
--- a/bronzeedge/metrics.go
+++ b/bronzeedge/metrics.go
@@ -70,7 +70,7 @@
 	s = Status{
 		Name: e.cfg.Name, AvailabilityZone: e.cfg.AvailabilityZone,
 		Ready: e.readyStatus() == http.StatusOK, Leaving: e.isLeaving(),
-		Epoch: p.Epoch, Revision: p.Revision, ConfirmedSeconds: e.gossip.SinceConfirmed(now).Seconds(), ReadsStore: e.reads(),
+		Epoch: p.Epoch, Revision: p.Revision, ConfirmedSeconds: e.gossip.SinceConfirmed(now).Seconds(), ReadsStore: e.readsStore(),
 		Peers: e.gossip.Peers(now), Servers: e.steerer.Servers(now),
 	}
 	if v := e.steerer.View(); v != nil {
--- a/bronzeedge/packets.go
+++ b/bronzeedge/packets.go
@@ -79,7 +79,7 @@
 		if w.deadlinePassed && n < len(w.in) {
 			w.hedge()
 		}
-		e.tellReports(now)
+		e.spreadReports(now)
 	}
 }
 
--- a/bronzeedge/peers.go
+++ b/bronzeedge/peers.go
@@ -24,28 +24,31 @@
 )
 
 const (
-	// recordsPath answers what leads from the epoch and revision in the query to this
-	// node's, as a bronzerecord.Delta in CBOR, compressed by gzip, or nothing
-	// if this node doesn't know.
+	// recordsPath serves the changes from the position in the query to this node's, as a
+	// bronzerecord.Delta in gzipped CBOR. If this node has nothing newer, or no longer
+	// knows the changes, the response is empty (204).
 	recordsPath = "/records"
-	// formerPath answers what this node remembers of earlier epochs of the store, as a
-	// bronzerecord.Recollection in the same form, or nothing.
-	formerPath = "/former"
-	epochQuery = "Epoch"
-	sinceQuery = "Since"
-	// fetchTimeout bounds a fetch; all records of 5,100 servers are 1.5 MB.
+	// lostHistoryPath serves what this node remembers of earlier epochs of the store, as a
+	// bronzerecord.LostHistory in the same encoding. If that is nothing, the response is
+	// empty (204).
+	lostHistoryPath = "/former"
+	epochQuery      = "Epoch"
+	sinceQuery      = "Since"
+	// fetchTimeout bounds a fetch. All records of 5,100 servers take 1.5 MB.
 	fetchTimeout = 1500 * time.Millisecond
-	// maxFullCopies bounds the peers that get all records at a time. After a power
-	// cut hundreds ask at once; answered all at once over a slow link none has
-	// its answer before it gives up, and all ask again. Those refused ask
-	// whoever they hear of next, and by then there are more that can answer.
+	// maxFullCopies bounds the peers that are sent all records at the same time. After a
+	// power cut hundreds of nodes ask at once. If all were served together over a slow
+	// link, none would have its response before its timeout, and all would ask again. Nodes
+	// that are refused ask the next peer that they hear of, and by then more peers have the
+	// records.
 	maxFullCopies = 3
-	// maxRecords bounds what a peer may answer, in bytes.
-	maxRecords = 16 << 20
+	// maxResponseBytes bounds the decompressed size of a peer's response.
+	maxResponseBytes = 16 << 20
 )
 
-// connectPeers sets the gossip up.
-func (e *Edge) connectPeers() {
+// setUpGossip sets the gossip's callbacks and the fields of the gossip and the steerer that
+// identify this node. It also creates the HTTP client for fetches.
+func (e *Edge) setUpGossip() {
 	e.fetchClient = &http.Client{Timeout: fetchTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	public := e.cfg.PeerPublicAddress
 	if !public.IsValid() {
@@ -61,9 +64,9 @@
 	}
 	g.Seeds = e.peerAddresses(e.cfg.Seeds)
 	g.Records = &e.records
-	g.Send = e.sendPeer
+	g.Send = e.sendToPeer
 	g.Fetch = e.fetch
-	g.FetchLostHistory = e.fetchFormer
+	g.FetchLostHistory = e.fetchLostHistory
 	g.OnPeer = e.onPeer
 	g.Count = e.count
 	g.Loads = e.loads
@@ -74,15 +77,15 @@
 	e.steerer.Node = uint32(xxhash.Sum64String(e.cfg.Name))
 }
 
-// loadScale is how many of a message's units make one request a second.
-const loadScale = 10
+// rateScale is the number of units in a message that stand for one request a second.
+const rateScale = 10
 
 func (e *Edge) loads() (out []bronzegossip.Load, latencies []uint32) {
 	loads := e.steerer.Loads()
 	out = make([]bronzegossip.Load, len(loads))
 	latencies = make([]uint32, len(loads))
 	for i, l := range loads {
-		out[i] = bronzegossip.Load{Server: l.Server, Rate: uint32(l.Rate*loadScale + 0.5)}
+		out[i] = bronzegossip.Load{Server: l.Server, Rate: uint32(l.Rate*rateScale + 0.5)}
 		latencies[i] = uint32(l.Latency.Milliseconds())
 	}
 	return out, latencies
@@ -91,7 +94,7 @@
 func (e *Edge) onLoads(from string, loads []bronzegossip.Load, latencies []uint32, now time.Time) {
 	in := make([]bronzesteer.Load, len(loads))
 	for i, l := range loads {
-		in[i] = bronzesteer.Load{Server: l.Server, Rate: float64(l.Rate) / loadScale}
+		in[i] = bronzesteer.Load{Server: l.Server, Rate: float64(l.Rate) / rateScale}
 		if i < len(latencies) {
 			in[i].Latency = time.Duration(latencies[i]) * time.Millisecond
 		}
@@ -130,15 +133,14 @@
 	e.steerer.MergeReports(in, now)
 }
 
-// tellReports tells other nodes what this one has found of servers, if there is news.
-func (e *Edge) tellReports(now time.Time) {
+// spreadReports tells other nodes of new findings about servers, if there are any.
+func (e *Edge) spreadReports(now time.Time) {
 	if e.steerer.HasNewReports() {
 		e.gossip.SpreadReports(now)
 	}
 }
 
-// peerAddresses returns where the nodes at the given control addresses take
-// datagrams.
+// peerAddresses returns the peer addresses of the nodes with the given control addresses.
 func (e *Edge) peerAddresses(control []netip.AddrPort) (addresses []netip.AddrPort) {
 	for _, a := range control {
 		addresses = append(addresses, netip.AddrPortFrom(a.Addr(), e.cfg.PeerAddress.Port()))
@@ -146,9 +148,9 @@
 	return addresses
 }
 
-// reads reports whether this node is to read the store now, and logs when that
+// readsStore reports whether this node should read the store now, and logs when that
 // changes.
-func (e *Edge) reads() bool {
+func (e *Edge) readsStore() bool {
 	e.detectPause()
 	now := time.Now()
 	reads := e.gossip.ShouldRead(now)
@@ -162,19 +164,19 @@
 	return reads
 }
 
-// tellNear tells the decisions which other nodes there are in this node's zone, where cold
-// servers are shared among them.
-func (e *Edge) tellNear(now time.Time) {
+// updateZonePeers tells the steerer which other nodes are in this node's zone, if the table
+// has warmups: cold servers are then shared among these nodes.
+func (e *Edge) updateZonePeers(now time.Time) {
 	v := e.steerer.View()
 	if v == nil || len(v.Table.Warmups) == 0 {
 		return
 	}
 	names, others := e.gossip.KnownPeers(e.cfg.AvailabilityZone)
-	e.steerer.SetZonePeers(names, others > 0 || e.joinsNobody(), now)
+	e.steerer.SetZonePeers(names, others > 0 || e.hasNoOtherSeeds(), now)
 }
 
-// joinsNobody reports whether the settings name no other node to join.
-func (e *Edge) joinsNobody() bool {
+// hasNoOtherSeeds reports whether the settings name no other node to join.
+func (e *Edge) hasNoOtherSeeds() bool {
 	e.cfgMu.Lock()
 	defer e.cfgMu.Unlock()
 	for _, seed := range e.cfg.Seeds {
@@ -189,9 +191,9 @@
 	e.log.Line("Peer"+event, Fields{"Peer": p.Name, "AvailabilityZone": p.AvailabilityZone, "Address": p.Address.String()})
 }
 
-// sendPeer sends a message, unless the node stood still since it was put together: it says
-// how old things are.
-func (e *Edge) sendPeer(to netip.AddrPort, b []byte) {
+// sendToPeer sends a message, unless the node was paused after the message was built: the
+// ages in it would be too low.
+func (e *Edge) sendToPeer(to netip.AddrPort, b []byte) {
 	if e.pauses.wasInterrupted(time.Now()) {
 		e.count("PeerNotSentLate")
 		return
@@ -203,8 +205,8 @@
 	e.counts.sent.add(len(b))
 }
 
-// readPeers handles other nodes' datagrams until the socket is closed.
-func (e *Edge) readPeers(ctx context.Context) {
+// readPeerMessages handles other nodes' datagrams until the socket is closed.
+func (e *Edge) readPeerMessages(ctx context.Context) {
 	b := make([]byte, 1<<16)
 	for ctx.Err() == nil {
 		n, _, err := e.peers.ReadFromUDPAddrPort(b)
@@ -222,22 +224,23 @@
 		}
 		now := time.Now()
 		e.gossip.Handle(b[:n], now)
-		e.tellReports(now)
+		e.spreadReports(now)
 	}
 }
 
-// fetch brings this node's records to where a peer's are, one fetch at a time.
+// fetch updates this node's records from a peer's in the background. It does nothing while
+// another fetch is running.
 func (e *Edge) fetch(peer bronzegossip.Peer, since bronzerecord.Position) {
 	if !e.fetching.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
 		defer e.fetching.Store(false)
-		begun := time.Now()
+		start := time.Now()
 		d, err := e.fetchRecords(peer.Records, since)
 		fields := Fields{
 			"Peer": peer.Name, "FromEpoch": since.Epoch, "From": since.Revision, "Epoch": d.Epoch, "To": d.To,
-			"Changed": len(d.Changed), "Removed": len(d.Removed), "TookMS": time.Since(begun).Milliseconds(),
+			"Changed": len(d.Changed), "Removed": len(d.Removed), "TookMS": time.Since(start).Milliseconds(),
 		}
 		if err != nil {
 			fields["Error"] = err.Error()
@@ -249,25 +252,26 @@
 	}()
 }
 
-// fetchFormer has a peer tell what it remembers of earlier epochs of the store.
-func (e *Edge) fetchFormer(peer bronzegossip.Peer) {
+// fetchLostHistory gets from a peer what it remembers of earlier epochs of the store, in
+// the background. It does nothing while another fetch is running.
+func (e *Edge) fetchLostHistory(peer bronzegossip.Peer) {
 	if !e.fetching.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
 		defer e.fetching.Store(false)
-		var r bronzerecord.LostHistory
-		err := e.get(peer.Records, formerPath, nil, &r)
+		var history bronzerecord.LostHistory
+		err := e.getCBOR(peer.Records, lostHistoryPath, nil, &history)
 		fields := Fields{
-			"Peer": peer.Name, "Epoch": r.Epoch, "FormerEpoch": r.Former.Epoch, "FormerRevision": r.Former.Revision,
-			"Lost": len(r.Lost),
+			"Peer": peer.Name, "Epoch": history.Epoch, "FormerEpoch": history.Former.Epoch, "FormerRevision": history.Former.Revision,
+			"Lost": len(history.Lost),
 		}
 		if err != nil {
 			fields["Error"] = err.Error()
 		}
 		e.log.Line("FetchedFormer", fields)
 		if err == nil {
-			e.records.MergeLostHistory(r)
+			e.records.MergeLostHistory(history)
 		}
 	}()
 }
@@ -277,12 +281,12 @@
 		epochQuery: {strconv.FormatUint(since.Epoch, 10)},
 		sinceQuery: {strconv.FormatUint(since.Revision, 10)},
 	}
-	err = e.get(from, recordsPath, query, &d)
+	err = e.getCBOR(from, recordsPath, query, &d)
 	return d, err
 }
 
-// get asks a peer for something in compressed CBOR.
-func (e *Edge) get(from netip.AddrPort, path string, query url.Values, v any) (err error) {
+// getCBOR requests a path from a peer and decodes the gzipped CBOR response into v.
+func (e *Edge) getCBOR(from netip.AddrPort, path string, query url.Values, v any) (err error) {
 	defer func() { err = errors.Wrapf(err, "fetch %s from %s", path, from) }()
 	address := url.URL{Scheme: "http", Host: from.String(), Path: path, RawQuery: query.Encode()}
 	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
@@ -299,11 +303,11 @@
 	if res.StatusCode != http.StatusOK {
 		return errors.Errorf("status %d", res.StatusCode)
 	}
-	unzip, err := gzip.NewReader(res.Body)
+	decompressor, err := gzip.NewReader(res.Body)
 	if err != nil {
 		return err
 	}
-	b, err := io.ReadAll(io.LimitReader(unzip, maxRecords))
+	b, err := io.ReadAll(io.LimitReader(decompressor, maxResponseBytes))
 	if err != nil {
 		return err
 	}
@@ -312,14 +316,15 @@
 
 func (e *Edge) controlHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+recordsPath, e.answerRecords)
-	mux.HandleFunc("GET "+formerPath, e.answerFormer)
+	mux.HandleFunc("GET "+recordsPath, e.serveRecords)
+	mux.HandleFunc("GET "+lostHistoryPath, e.serveLostHistory)
 	return mux
 }
 
-// answerRecords answers a peer's fetch.
-func (e *Edge) answerRecords(w http.ResponseWriter, r *http.Request) {
-	since, err := positionOf(r.URL.Query())
+// serveRecords serves recordsPath. It refuses requests for all records with status 503 while
+// maxFullCopies of them are being sent.
+func (e *Edge) serveRecords(w http.ResponseWriter, r *http.Request) {
+	since, err := parsePosition(r.URL.Query())
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -338,7 +343,7 @@
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
-	b, err := e.deltas.delta(d)
+	b, err := e.deltas.encode(d)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
@@ -346,14 +351,15 @@
 	e.sendRecords(w, b)
 }
 
-// answerFormer answers a peer that knows less of earlier epochs than this node.
-func (e *Edge) answerFormer(w http.ResponseWriter, _ *http.Request) {
-	r, ok := e.records.LostHistory()
+// serveLostHistory serves lostHistoryPath, for peers that know less of earlier epochs than
+// this node.
+func (e *Edge) serveLostHistory(w http.ResponseWriter, _ *http.Request) {
+	history, ok := e.records.LostHistory()
 	if !ok {
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
-	b, err := zip(r)
+	b, err := encodeCBOR(history)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
@@ -367,8 +373,8 @@
 	}
 }
 
-// positionOf returns where the records of the node that asks are.
-func positionOf(query url.Values) (p bronzerecord.Position, err error) {
+// parsePosition returns the position of the requesting node's records.
+func parsePosition(query url.Values) (p bronzerecord.Position, err error) {
 	if p.Epoch, err = strconv.ParseUint(query.Get(epochQuery), 10, 64); err != nil {
 		return p, errors.Errorf("%s: %q is not an epoch", epochQuery, query.Get(epochQuery))
 	}
@@ -378,38 +384,38 @@
 	return p, nil
 }
 
-// zipped keeps the last delta that was sent, compressed: when the routes
-// change several peers ask for the same one at once.
-type zipped struct {
+// deltaCache keeps the last delta sent, in encoded form. When the table changes, several
+// peers ask for the same delta at once.
+type deltaCache struct {
 	mu       sync.Mutex
 	from, to bronzerecord.Position
 	body     []byte
 }
 
-// delta returns d, compressed. What an earlier epoch of the store had changes with time, so that
-// a delta with it isn't kept.
-func (z *zipped) delta(d bronzerecord.Delta) (b []byte, err error) {
+// encode returns d as gzipped CBOR. A delta with lost history isn't cached, since that
+// history changes with time.
+func (c *deltaCache) encode(d bronzerecord.Delta) (b []byte, err error) {
 	if d.Recollection != nil {
-		return zip(d)
+		return encodeCBOR(d)
 	}
-	z.mu.Lock()
-	defer z.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	from := bronzerecord.Position{Epoch: d.Epoch, Revision: d.From}
 	to := bronzerecord.Position{Epoch: d.Epoch, Revision: d.To}
-	if z.body != nil && z.from == from && z.to == to {
-		return z.body, nil
+	if c.body != nil && c.from == from && c.to == to {
+		return c.body, nil
 	}
-	if b, err = zip(d); err != nil {
+	if b, err = encodeCBOR(d); err != nil {
 		return nil, err
 	}
-	z.from, z.to, z.body = from, to, b
+	c.from, c.to, c.body = from, to, b
 	return b, nil
 }
 
-// zip returns v as compressed CBOR. Routes are alike, so 1,200 of them take a
-// tenth of their 170 KB, which would fill a link of 10 Mbit/s for a seventh of
+// encodeCBOR returns v as gzipped CBOR. Routes resemble each other, so 1,200 of them shrink
+// from 170 KB to a tenth; uncompressed they would fill a link of 10 Mbit/s for a seventh of
 // a second.
-func zip(v any) (b []byte, err error) {
+func encodeCBOR(v any) (b []byte, err error) {
 	plain, err := cbor.Marshal(v)
 	if err != nil {
 		return nil, err
--- a/bronzeedge/peers_test.go
+++ b/bronzeedge/peers_test.go
@@ -12,63 +12,63 @@
 	"bronzeusher.example/bronzeusher/bronzerecord"
 )
 
-// All nodes start at once after a power cut, and the first that has the records
-// is asked by hundreds over a link of 10 Mbit/s. Those beyond a few are refused
-// at once and ask another node; small differences are answered all the same.
-func TestCopiesOfAllRecordsAreBounded(t *testing.T) {
+// All nodes start at once after a power cut, and hundreds of them ask the first one that
+// has the records, over a link of 10 Mbit/s. Requests for all records beyond a few are
+// refused at once, so that their senders ask another node; small deltas are still served.
+func TestFullCopiesBounded(t *testing.T) {
 	e := &Edge{counts: newCounters()}
 	e.records.Apply(bronzerecord.Delta{Whole: true, To: 7, Changed: []bronzerecord.Record{{Name: "routes", Revision: 7}}})
 	e.records.Apply(bronzerecord.Delta{From: 7, To: 8, Changed: []bronzerecord.Record{{Name: "routes", Revision: 8}}})
-	askIn := func(epoch, since string) int {
+	statusInEpoch := func(epoch, since string) int {
 		w := httptest.NewRecorder()
 		query := url.Values{epochQuery: {epoch}, sinceQuery: {since}}
-		e.answerRecords(w, httptest.NewRequest(http.MethodGet, recordsPath+"?"+query.Encode(), http.NoBody))
+		e.serveRecords(w, httptest.NewRequest(http.MethodGet, recordsPath+"?"+query.Encode(), http.NoBody))
 		return w.Code
 	}
-	ask := func(since string) int { return askIn("0", since) }
-	require.Equal(t, http.StatusOK, ask("0"))
+	status := func(since string) int { return statusInEpoch("0", since) }
+	require.Equal(t, http.StatusOK, status("0"))
 	e.fullCopies.Store(maxFullCopies)
-	require.Equal(t, http.StatusServiceUnavailable, ask("0"))
-	require.Equal(t, http.StatusOK, ask("7"))
+	require.Equal(t, http.StatusServiceUnavailable, status("0"))
+	require.Equal(t, http.StatusOK, status("7"))
 	e.fullCopies.Store(maxFullCopies - 1)
-	require.Equal(t, http.StatusOK, ask("0"))
+	require.Equal(t, http.StatusOK, status("0"))
 	require.EqualValues(t, maxFullCopies-1, e.fullCopies.Load())
-	require.Equal(t, http.StatusBadRequest, ask("soon"))
-	require.Equal(t, http.StatusBadRequest, askIn("", "0"))
-	require.Equal(t, http.StatusNoContent, ask("8"))
+	require.Equal(t, http.StatusBadRequest, status("soon"))
+	require.Equal(t, http.StatusBadRequest, statusInEpoch("", "0"))
+	require.Equal(t, http.StatusNoContent, status("8"))
 }
 
-// Guards against deltas between two epochs, and against unbounded whole copies.
-func TestNodesOfAnEarlierEpochGetAllRecords(t *testing.T) {
+// Guards against deltas between two epochs and against unbounded full copies.
+func TestFetchRecordsEarlierEpoch(t *testing.T) {
 	e := &Edge{counts: newCounters()}
 	e.records.Apply(bronzerecord.Delta{Epoch: 2, Whole: true, To: 7, Changed: []bronzerecord.Record{{Name: "routes", Revision: 7}}})
-	server := httptest.NewServer(http.HandlerFunc(e.answerRecords))
+	server := httptest.NewServer(http.HandlerFunc(e.serveRecords))
 	defer server.Close()
-	asker := &Edge{fetchClient: server.Client()}
+	client := &Edge{fetchClient: server.Client()}
 	address := netip.MustParseAddrPort(server.Listener.Addr().String())
-	d, err := asker.fetchRecords(address, bronzerecord.Position{Epoch: 1, Revision: 90})
+	d, err := client.fetchRecords(address, bronzerecord.Position{Epoch: 1, Revision: 90})
 	require.NoError(t, err)
 	require.True(t, d.Whole)
 	require.EqualValues(t, 2, d.Epoch)
 	e.fullCopies.Store(maxFullCopies)
-	_, err = asker.fetchRecords(address, bronzerecord.Position{Epoch: 1, Revision: 90})
+	_, err = client.fetchRecords(address, bronzerecord.Position{Epoch: 1, Revision: 90})
 	require.ErrorContains(t, err, "503")
 }
 
-// Guards against peers that keep what the store lost to themselves.
-func TestPeersTellWhatTheStoreLost(t *testing.T) {
+// Guards against peers that don't pass on what the store lost.
+func TestServeLostHistory(t *testing.T) {
 	e := &Edge{counts: newCounters()}
-	server := httptest.NewServer(http.HandlerFunc(e.answerFormer))
+	server := httptest.NewServer(http.HandlerFunc(e.serveLostHistory))
 	defer server.Close()
-	asker := &Edge{fetchClient: server.Client()}
+	client := &Edge{fetchClient: server.Client()}
 	address := netip.MustParseAddrPort(server.Listener.Addr().String())
-	var r bronzerecord.LostHistory
-	require.ErrorContains(t, asker.get(address, formerPath, nil, &r), "204")
+	var history bronzerecord.LostHistory
+	require.ErrorContains(t, client.getCBOR(address, lostHistoryPath, nil, &history), "204")
 
 	e.records.Apply(bronzerecord.Delta{Epoch: 1, Whole: true, To: 7, Changed: []bronzerecord.Record{{Name: "routes", Revision: 7, Body: []byte("lost")}}})
 	e.records.Apply(bronzerecord.Delta{Epoch: 2, Whole: true, To: 3})
-	require.NoError(t, asker.get(address, formerPath, nil, &r))
-	require.Equal(t, bronzerecord.Position{Epoch: 1, Revision: 7}, r.Former)
-	require.Len(t, r.Lost, 1)
-	require.Equal(t, "lost", string(r.Lost[0].Record.Body))
+	require.NoError(t, client.getCBOR(address, lostHistoryPath, nil, &history))
+	require.Equal(t, bronzerecord.Position{Epoch: 1, Revision: 7}, history.Former)
+	require.Len(t, history.Lost, 1)
+	require.Equal(t, "lost", string(history.Lost[0].Record.Body))
 }
