--- a/bronzeedge/edge.go
+++ b/bronzeedge/edge.go
@@ -37,7 +37,7 @@
 	steerer  bronzesteer.Steerer
 	records  bronzerecord.Set
 	follower bronzerecord.Follower
-	routing  book
+	routing  routingState
 	held     heldPackets
 	cfgMu    sync.Mutex
 	grace    time.Duration // guarded by cfgMu
@@ -306,6 +306,6 @@
 		w.flush()
 		e.spreadReports(now)
 		e.updateZonePeers(now)
-		e.advance(now)
+		e.advanceDirectory(now)
 	}
 }
--- a/bronzeedge/recall.go
+++ b/bronzeedge/recall.go
@@ -6,7 +6,8 @@
 	"bronzeusher.example/bronzeusher/bronzerecord"
 )
 
-// lostNames returns the names of the records that were there before the store lost them.
+// lostNames returns the names in lost, true for those whose last entry is a record and not a
+// removal.
 func lostNames(lost []bronzerecord.LostRecord) (names map[string]bool) {
 	names = make(map[string]bool, len(lost))
 	for i := range lost {
@@ -15,14 +16,15 @@
 	return names
 }
 
-// recall goes on by what a record said before the store lost it, until it is written again or
-// its time is over. A table counts for as long as it is the newest. A drain that had ended and
-// is back is obeyed: that costs distance, and to ignore one that the operator has just asked
-// for would send callers to servers that are about to end.
-func (e *Edge) recall(l *bronzerecord.LostRecord, now time.Time) (changed bool) {
+// applyLost applies the state that a record had before the store lost it, until the record
+// is written again or bronzerecord.LostRetention has passed. A table is applied only if it
+// is the newest. A drain that had ended and is back in the store is obeyed: that only makes
+// callers' paths longer, while ignoring a drain that an operator has just requested would send
+// callers to servers that are about to end.
+func (e *Edge) applyLost(l *bronzerecord.LostRecord, now time.Time) (changed bool) {
 	until := now.Add(bronzerecord.LostRetention - l.Age)
 	if e.adapter.Decoder.IsTable(l.Record.Name) {
-		return !l.Removed && e.takeTable(l.Record, l.Epoch, now)
+		return !l.Removed && e.applyTable(l.Record, l.Epoch, now)
 	}
 	if zone, ok := e.adapter.Decoder.DrainedZone(l.Record.Name); ok {
 		return !l.Removed && e.recallZone(zone, l, until)
@@ -53,7 +55,7 @@
 	} else {
 		s, err := e.adapter.Decoder.Server(l.Record, now)
 		if err != nil {
-			// It named no server before either.
+			// The record was invalid before it was lost, too.
 			return false
 		}
 		fields["Draining"] = s.Draining
--- a/bronzeedge/recall_test.go
+++ b/bronzeedge/recall_test.go
@@ -302,7 +302,7 @@
 func (d *drill) pass(t time.Duration) {
 	time.Sleep(t)
 	for _, n := range d.nodes {
-		n.edge.advance(time.Now())
+		n.edge.advanceDirectory(time.Now())
 	}
 }
 
--- a/bronzeedge/records.go
+++ b/bronzeedge/records.go
@@ -9,20 +9,20 @@
 	"bronzeusher.example/bronzeusher/bronzesteer"
 )
 
-// book is the directory under its lock.
-type book struct {
+// routingState is the directory with its mutex.
+type routingState struct {
 	mu        sync.Mutex
 	directory bronzeroute.Directory
 }
 
-// onRecords takes in what changed in the records.
+// onRecords applies a change of the records to the directory.
 func (e *Edge) onRecords(c bronzerecord.Change) {
 	now := time.Now()
 	e.routing.mu.Lock()
 	defer e.routing.mu.Unlock()
 	first, changed := !e.hasView(), false
 	for _, r := range c.Changed {
-		changed = e.takeRecord(r, c.Position.Epoch, first, now) || changed
+		changed = e.applyRecord(r, c.Position.Epoch, first, now) || changed
 	}
 	if first {
 		e.log.Line("RegisteredAll", Fields{"Records": len(c.Changed), "Epoch": c.Position.Epoch, "Revision": c.Position.Revision})
@@ -34,17 +34,17 @@
 		}
 	}
 	for i := range c.Lost {
-		changed = e.recall(&c.Lost[i], now) || changed
+		changed = e.applyLost(&c.Lost[i], now) || changed
 	}
 	if changed {
-		e.publish()
+		e.publishView()
 	}
 }
 
-// removeRecord takes in that a record is no more.
+// removeRecord applies the removal of a record.
 func (e *Edge) removeRecord(name string, at bronzerecord.Position, now time.Time) (changed bool) {
 	if zone, ok := e.adapter.Decoder.DrainedZone(name); ok {
-		return e.returnZone(zone, at, now)
+		return e.undrainZone(zone, at, now)
 	}
 	instance, ok := e.adapter.Decoder.ServerName(name)
 	if !ok {
@@ -55,7 +55,7 @@
 	return true
 }
 
-// hasView reports whether the node has had a view.
+// hasView reports whether the first view has been published.
 func (e *Edge) hasView() bool {
 	select {
 	case <-e.firstView:
@@ -65,16 +65,17 @@
 	}
 }
 
-// takeRecord puts one record in force. A table with faults leaves the one before in
-// force; a registration with faults names no server, as if it had disappeared. Left
-// in force, what a server said before another writer wrote over it would be believed
-// for as long as that stands there.
+// applyRecord applies one record. After an invalid table the previous one stays in force.
+// An invalid registration counts as removed: if the previous one stayed in force, a
+// registration that another writer has overwritten would be trusted for as long as the
+// invalid record exists.
 //
-// The first records have no line each: callers wait for them after a power cut, and the
-// lines would take more than half of the processor time, and leave no room for others.
-func (e *Edge) takeRecord(r bronzerecord.Record, epoch uint64, first bool, now time.Time) (changed bool) {
+// Registrations before the first view are not logged one by one. Callers wait for that view
+// after a power cut, and the lines would take more than half of the processor time and
+// leave no room in the log for others.
+func (e *Edge) applyRecord(r bronzerecord.Record, epoch uint64, first bool, now time.Time) (changed bool) {
 	if e.adapter.Decoder.IsTable(r.Name) {
-		return e.takeTable(r, epoch, now)
+		return e.applyTable(r, epoch, now)
 	}
 	if zone, ok := e.adapter.Decoder.DrainedZone(r.Name); ok {
 		return e.drainZone(zone, r, epoch)
@@ -85,12 +86,12 @@
 	}
 	s, err := e.adapter.Decoder.Server(r, now)
 	if err != nil {
-		e.refuse(r, epoch, err)
+		e.logRefused(r, epoch, err)
 		e.routing.directory.Unregister(instance, now)
 		return true
 	}
-	taken := e.routing.directory.Register(s)
-	if first && taken {
+	registered := e.routing.directory.Register(s)
+	if first && registered {
 		return true
 	}
 	fields := Fields{
@@ -100,7 +101,7 @@
 	if !s.StartedAt.IsZero() {
 		fields["Born"] = s.StartedAt.UTC()
 	}
-	if !taken {
+	if !registered {
 		e.log.Line("RegistrationOutOfDate", fields)
 		return false
 	}
@@ -108,10 +109,10 @@
 	return true
 }
 
-func (e *Edge) takeTable(r bronzerecord.Record, epoch uint64, now time.Time) (changed bool) {
+func (e *Edge) applyTable(r bronzerecord.Record, epoch uint64, now time.Time) (changed bool) {
 	t, err := e.adapter.Decoder.Table(r)
 	if err != nil {
-		e.refuse(r, epoch, err)
+		e.logRefused(r, epoch, err)
 		return false
 	}
 	if !e.routing.directory.SetTable(t, now) {
@@ -123,24 +124,24 @@
 	return true
 }
 
-// refuse logs a record with faults.
-func (e *Edge) refuse(r bronzerecord.Record, epoch uint64, err error) {
+// logRefused logs an invalid record.
+func (e *Edge) logRefused(r bronzerecord.Record, epoch uint64, err error) {
 	e.log.Line("RecordRefused", Fields{"Record": r.Name, "Epoch": epoch, "Revision": r.Revision, "Error": err.Error()})
 }
 
-// advance lets time pass in the directory.
-func (e *Edge) advance(now time.Time) {
+// advanceDirectory applies the passing of time to the directory.
+func (e *Edge) advanceDirectory(now time.Time) {
 	e.routing.mu.Lock()
 	defer e.routing.mu.Unlock()
-	// While the node stood still, servers that seemed missing may have come back.
+	// After a pause, wait until the records are confirmed: servers that seem missing may have
+	// come back during it.
 	if !e.pauses.isUnconfirmed() && e.routing.directory.Advance(now) {
-		e.publish()
+		e.publishView()
 	}
 }
 
-// publish hands the directory's view to the decisions; the caller holds the
-// lock.
-func (e *Edge) publish() {
+// publishView passes the directory's view to the steerer. The caller holds the lock.
+func (e *Edge) publishView() {
 	v := e.routing.directory.View()
 	if v == nil {
 		return
@@ -152,7 +153,7 @@
 	})
 }
 
-// onServerEvent logs what this node believes of a server.
+// onServerEvent logs a change in what this node believes of a server.
 func (e *Edge) onServerEvent(ev bronzesteer.Event) {
 	e.log.Line("Server"+ev.Kind.String(), Fields{
 		"Instance": ev.Instance, "AvailabilityZone": ev.AvailabilityZone, "Unanswered": ev.Unanswered,
@@ -160,41 +161,41 @@
 	})
 }
 
-// storeState is whether the store answers this node.
+// storeState says whether the store responds to this node.
 type storeState struct {
-	lost  bool
-	since time.Time
-	calls int
+	lost        bool
+	since       time.Time
+	failedCalls int
 }
 
-// noteStore logs when the store is lost, and when it is back: an answer without
-// news has no line of its own.
-func (e *Edge) noteStore(ev bronzerecord.Event, now time.Time) {
+// logStoreState logs when the store is lost and when it is regained. Without this, the log
+// wouldn't show the return, since answers without changes are not logged.
+func (e *Edge) logStoreState(ev bronzerecord.Event, now time.Time) {
 	failed := ev.Kind == bronzerecord.Failed
 	switch st := &e.store; {
 	case failed && !st.lost:
-		*st = storeState{lost: true, since: now, calls: 1}
+		*st = storeState{lost: true, since: now, failedCalls: 1}
 		e.log.Line("StoreLost", Fields{"Epoch": ev.Position.Epoch, "Revision": ev.Position.Revision, "Error": ev.Err.Error()})
 	case failed:
-		st.calls++
+		st.failedCalls++
 	case st.lost:
 		st.lost = false
 		e.log.Line("StoreRegained", Fields{
 			"Epoch": ev.Position.Epoch, "Revision": ev.Position.Revision, "Kind": ev.Kind,
-			"FailedCalls": st.calls, "AwayMS": now.Sub(st.since).Milliseconds(),
+			"FailedCalls": st.failedCalls, "AwayMS": now.Sub(st.since).Milliseconds(),
 		})
 	}
 }
 
-// onStoreEvent spreads what the store answers, and logs it.
+// onStoreEvent passes the store's answer on to other nodes and logs it.
 func (e *Edge) onStoreEvent(ev bronzerecord.Event) {
 	e.detectPause()
-	e.noteStore(ev, time.Now())
+	e.logStoreState(ev, time.Now())
 	changed, removed := len(ev.Delta.Changed), len(ev.Delta.Removed)
 	if ev.Kind == bronzerecord.Loaded || ev.Kind == bronzerecord.Watched {
 		now := time.Now()
-		// An answer that waited while the node stood still says what was true before, and
-		// one that may be stale what was true some seconds ago.
+		// An answer that waited during a pause confirms only an earlier state, and a stale
+		// one that of some seconds ago.
 		if !ev.Stale && !e.pauses.endedWithin(now, ev.Took) {
 			e.gossip.StoreConfirmed(now)
 		}
--- a/bronzeedge/records_test.go
+++ b/bronzeedge/records_test.go
@@ -14,7 +14,7 @@
 	"bronzeusher.example/bronzeusher/bronzerecord"
 )
 
-// lines returns the messages of a log's lines.
+// lines returns the messages of the lines of a log.
 func lines(t *testing.T, out string) (messages []string) {
 	t.Helper()
 	for _, line := range strings.Split(strings.TrimSpace(out), "\n") {
@@ -25,10 +25,10 @@
 	return messages
 }
 
-// The store fails a node for a while and comes back with nothing new. Who reads the
-// log afterwards must see from when to when: an answer without news has no line, so
-// that the failures would seem to go on until the next change, hours later.
-func TestLogSaysWhenTheStoreIsLostAndBack(t *testing.T) {
+// The store fails for a while and returns without changes. Since an answer without changes
+// isn't logged, the log must show when the store was lost and regained; otherwise the
+// failures would seem to last until the next change, possibly hours later.
+func TestStoreLostAndRegainedLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		l := NewLog(&out)
@@ -49,8 +49,8 @@
 	})
 }
 
-// Guards against answers that are dropped, or not taken in, without a trace in the log.
-func TestLogSaysWhatTheStoreAnswered(t *testing.T) {
+// Guards against answers that are dropped, or not applied, without a trace in the log.
+func TestStoreAnswerLogged(t *testing.T) {
 	var out bytes.Buffer
 	l := NewLog(&out)
 	e := &Edge{counts: newCounters(), log: l}
--- a/bronzeedge/view_bench_test.go
+++ b/bronzeedge/view_bench_test.go
@@ -18,7 +18,8 @@
 	"bronzeusher.example/bronzeusher/platform/standin"
 )
 
-// allRecords returns the records of 22 routes and some servers, as a store holds them.
+// allRecords returns the records of 22 routes and the given number of servers, as read from
+// a store.
 func allRecords(t testing.TB, servers int) (d bronzerecord.Delta) {
 	t.Helper()
 	store := &standin.Store{PageSize: servers + 1}
@@ -43,9 +44,10 @@
 	return bronzerecord.Delta{Whole: true, To: p.Revision, Changed: p.Records}
 }
 
-// BenchmarkFirstView takes in all records of 600 servers, as a node does at its start while
-// callers wait, and writes the log. With a line for each server it took 6.0 ms, without 2.5
-// (one core of a shared machine); a node with a twentieth of a core takes that times 16.
+// BenchmarkFirstView applies all records of 600 servers and writes the log, as a node does
+// at its start while callers wait. With a log line for each server it took 6.0 ms, without
+// 2.5 ms (one core of a shared machine). A node with a twentieth of a core takes 16 times
+// as long.
 func BenchmarkFirstView(b *testing.B) {
 	d := allRecords(b, 600)
 	for b.Loop() {
@@ -53,8 +55,8 @@
 	}
 }
 
-// BenchmarkRestored takes in the records of a store that came back from a copy, of which a
-// hundredth are other ones than before, and tells the bytes that a peer would get.
+// BenchmarkRestored applies the records of a restored store, of which one in a hundred
+// differs from before, and reports the bytes that a peer would be sent.
 func BenchmarkRestored(b *testing.B) {
 	for _, servers := range []int{600, 5100} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
@@ -65,9 +67,9 @@
 			}
 			for b.Loop() {
 				b.StopTimer()
-				sent, err := bronzeedge.ApplyRestored(platform.NewAdapter("127.0.0.1:1"), d, restored, func(take func()) {
+				sent, err := bronzeedge.ApplyRestored(platform.NewAdapter("127.0.0.1:1"), d, restored, func(apply func()) {
 					b.StartTimer()
-					take()
+					apply()
 					b.StopTimer()
 				})
 				require.NoError(b, err)
@@ -78,9 +80,9 @@
 	}
 }
 
-// A node starts before 600 servers. An operator who reads its log sees when it was ready:
-// lines of all servers, of which 512 wait for their writing at most, would leave that out.
-func TestLogTellsWhenANodeOfALargeFleetIsReady(t *testing.T) {
+// A node starts in a fleet of 600 servers. Its log must show when it was ready: with a line
+// for each server, of which at most 512 can be pending, that line would be dropped.
+func TestReadyLoggedInLargeFleet(t *testing.T) {
 	var out bytes.Buffer
 	bronzeedge.ApplyAll(platform.NewAdapter("127.0.0.1:1"), allRecords(t, 600), &out)
 	require.Contains(t, out.String(), `"Message":"Ready"`)
--- a/bronzeedge/zones.go
+++ b/bronzeedge/zones.go
@@ -6,12 +6,12 @@
 	"bronzeusher.example/bronzeusher/bronzerecord"
 )
 
-// drainZone keeps new flows away from an AvailabilityZone's servers for as long as the
-// record is there. A fault in the record, or a zone that this deployment doesn't have, is
-// logged; what is clear is obeyed all the same.
+// drainZone keeps new flows away from the servers of an AvailabilityZone for as long as the
+// record exists. An invalid record is logged and obeyed as far as it names a zone. A zone
+// that the settings don't know is drained too; the log line says so.
 func (e *Edge) drainZone(zone string, r bronzerecord.Record, epoch uint64) (changed bool) {
 	if err := e.adapter.Decoder.CheckDrain(r); err != nil {
-		e.refuse(r, epoch, err)
+		e.logRefused(r, epoch, err)
 	}
 	if zone == "" || !e.routing.directory.DrainZone(zone) {
 		return false
@@ -22,8 +22,8 @@
 	return true
 }
 
-// returnZone lets new flows go to an AvailabilityZone's servers again.
-func (e *Edge) returnZone(zone string, at bronzerecord.Position, now time.Time) (changed bool) {
+// undrainZone lets new flows go to the servers of an AvailabilityZone again.
+func (e *Edge) undrainZone(zone string, at bronzerecord.Position, now time.Time) (changed bool) {
 	if !e.routing.directory.UndrainZone(zone, now) {
 		return false
 	}
