--- a/bronzeedge/config_test.go
+++ b/bronzeedge/config_test.go
@@ -8,11 +8,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-const goodConfig = `{"Name": "edge-1", "AvailabilityZone": "a", "DataAddress": "127.0.0.1:0", "ReadyAddress": "127.0.0.1:0",
+const validConfig = `{"Name": "edge-1", "AvailabilityZone": "a", "DataAddress": "127.0.0.1:0", "ReadyAddress": "127.0.0.1:0",
 	"ControlAddress": "127.0.0.1:0", "PeerAddress": "127.0.0.1:0", "Store": "127.0.0.1:1", "GraceSeconds": 6}`
 
-func TestParseConfigNamesTheFieldAtFault(t *testing.T) {
-	cfg, err := ParseConfig([]byte(goodConfig))
+func TestParseConfigFieldError(t *testing.T) {
+	cfg, err := ParseConfig([]byte(validConfig))
 	require.NoError(t, err)
 	require.Equal(t, 6*time.Second, cfg.grace())
 	for _, c := range []struct{ body, field string }{
--- a/bronzeedge/counters.go
+++ b/bronzeedge/counters.go
@@ -16,76 +16,76 @@
 	"bronzeusher.example/bronzeusher/bronzesteer"
 )
 
-// counters counts by tally and serves the counts in the usual text format.
-// The format is written here: the library that tally takes for it needs half
-// a millisecond of processor time at each start, when callers wait.
+// counters collects metrics with tally and renders them in the Prometheus text format. The
+// format is written here because the library that tally uses for it takes half a
+// millisecond of processor time at each start, while callers wait.
 type counters struct {
 	scope tally.TestScope
-	// decisions are made when they are first counted or shown: made at the start,
-	// all 45 took 4 ms of a node with 0.088 cores while its callers waited.
-	decisions [kinds][reasons]atomic.Pointer[decisionCounter]
-	// opening is the time from an opening to the caller's next packet, deciding
-	// that to a decision on a packet, and knowledge how long ago the store
-	// confirmed this node's records.
-	opening   tally.Histogram
-	deciding  tally.Histogram
-	knowledge tally.Histogram
-	// sent and received are of messages between nodes.
-	sent     messages
-	received messages
-
-	// mu guards what follows, and the making of decisions.
+	// decisions are created when first counted or rendered. Creating all 45 at startup took
+	// 4 ms on a node with 0.088 cores while its callers waited.
+	decisions [kindCount][reasonCount]atomic.Pointer[decisionCounter]
+	// openingTime is the time from an opening to the caller's next packet, decisionTime the
+	// time to decide on a packet, and confirmationAge the time since the store confirmed
+	// this node's records.
+	openingTime     tally.Histogram
+	decisionTime    tally.Histogram
+	confirmationAge tally.Histogram
+	// sent and received count messages between nodes.
+	sent     messageCounters
+	received messageCounters
+
+	// mu guards the fields below and the creation of decisions.
 	mu     sync.Mutex
-	calls  map[callOutcome]tally.Counter
+	calls  map[storeCall]tally.Counter
 	events map[string]tally.Counter
 	gauges map[string]tally.Gauge
 }
 
-// messages counts messages between nodes, and their bytes.
-type messages struct {
+// messageCounters counts messages between nodes and their bytes.
+type messageCounters struct {
 	count tally.Counter
 	bytes tally.Counter
 }
 
-func newMessages(scope tally.Scope, direction string) messages {
+func newMessageCounters(scope tally.Scope, direction string) messageCounters {
 	tagged := scope.Tagged(map[string]string{"Direction": direction})
-	return messages{count: tagged.Counter("PeerMessages"), bytes: tagged.Counter("PeerBytes")}
+	return messageCounters{count: tagged.Counter("PeerMessages"), bytes: tagged.Counter("PeerBytes")}
 }
 
-func (m *messages) add(bytes int) {
+func (m *messageCounters) add(bytes int) {
 	m.count.Inc(1)
 	m.bytes.Inc(int64(bytes))
 }
 
-// decisionCounter is a counter behind one pointer.
+// decisionCounter wraps a counter so that an atomic.Pointer can hold it.
 type decisionCounter struct{ tally.Counter }
 
-// kinds and reasons are how many there are.
+// kindCount and reasonCount are the numbers of decision kinds and reasons.
 const (
-	kinds   = int(bronzesteer.Wait) + 1
-	reasons = int(bronzesteer.ReasonCount)
+	kindCount   = int(bronzesteer.Wait) + 1
+	reasonCount = int(bronzesteer.ReasonCount)
 )
 
-// callOutcome is a kind of call to the store, and how it went.
-type callOutcome struct{ call, outcome string }
+// storeCall is the kind and outcome of a call to the store.
+type storeCall struct{ call, outcome string }
 
-// openingBuckets are the bounds of the times from an opening to the caller's
-// next packet, around the 200 ms after which callers repeat an opening.
+// openingBuckets are the histogram bounds of openingTime, around the 200 ms after which
+// callers retransmit an opening.
 var openingBuckets = tally.DurationBuckets{
 	time.Millisecond, 2 * time.Millisecond, 5 * time.Millisecond, 10 * time.Millisecond, 20 * time.Millisecond,
 	50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond, time.Second,
 }
 
-// decidingBuckets are the bounds of the times to a decision, which takes
-// microseconds on a core and ten times as long on a tenth of one.
-var decidingBuckets = tally.DurationBuckets{
+// decisionBuckets are the histogram bounds of decisionTime. A decision takes microseconds
+// on a full core and ten times as long on a tenth of one.
+var decisionBuckets = tally.DurationBuckets{
 	time.Microsecond, 2 * time.Microsecond, 5 * time.Microsecond, 10 * time.Microsecond, 20 * time.Microsecond,
 	50 * time.Microsecond, 100 * time.Microsecond, time.Millisecond, 10 * time.Millisecond,
 }
 
-// knowledgeBuckets are the bounds of the ages of what a node knows, around the
-// three seconds in which a change is to be in force everywhere.
-var knowledgeBuckets = tally.DurationBuckets{
+// confirmationAgeBuckets are the histogram bounds of confirmationAge, around the three
+// seconds within which a change must be in force everywhere.
+var confirmationAgeBuckets = tally.DurationBuckets{
 	200 * time.Millisecond, 500 * time.Millisecond, time.Second, 1500 * time.Millisecond, 2 * time.Second,
 	3 * time.Second, 5 * time.Second, 10 * time.Second, time.Minute,
 }
@@ -96,22 +96,22 @@
 	scope := tally.NewTestScope(metricPrefix, nil)
 	c := &counters{
 		scope: scope, events: make(map[string]tally.Counter), gauges: make(map[string]tally.Gauge),
-		calls:     make(map[callOutcome]tally.Counter),
-		opening:   scope.Histogram("OpeningSeconds", openingBuckets),
-		deciding:  scope.Histogram("DecisionSeconds", decidingBuckets),
-		knowledge: scope.Histogram("KnowledgeSeconds", knowledgeBuckets),
-		sent:      newMessages(scope, "Sent"),
-		received:  newMessages(scope, "Received"),
+		calls:           make(map[storeCall]tally.Counter),
+		openingTime:     scope.Histogram("OpeningSeconds", openingBuckets),
+		decisionTime:    scope.Histogram("DecisionSeconds", decisionBuckets),
+		confirmationAge: scope.Histogram("KnowledgeSeconds", confirmationAgeBuckets),
+		sent:            newMessageCounters(scope, "Sent"),
+		received:        newMessageCounters(scope, "Received"),
 	}
 	return c
 }
 
-// decision counts what was decided of a packet.
+// decision counts a decision on a packet.
 func (c *counters) decision(d *bronzesteer.Decision) {
 	c.decisionCounter(d.Kind, d.Reason).Inc(1)
 }
 
-// decisionCounter returns the counter of decisions of a kind for a reason.
+// decisionCounter returns the counter for a kind and reason.
 func (c *counters) decisionCounter(kind bronzesteer.Kind, reason bronzesteer.Reason) tally.Counter {
 	at := &c.decisions[kind][reason]
 	if k := at.Load(); k != nil {
@@ -128,7 +128,7 @@
 	return k.Counter
 }
 
-// event counts something by its name.
+// event counts an event by name.
 func (c *counters) event(name string) {
 	c.mu.Lock()
 	k := c.events[name]
@@ -140,13 +140,13 @@
 	k.Inc(1)
 }
 
-// call counts a call to the store by its kind and how it went.
+// call counts a call to the store by kind and outcome.
 func (c *counters) call(call, outcome string) {
 	c.mu.Lock()
-	k := c.calls[callOutcome{call, outcome}]
+	k := c.calls[storeCall{call, outcome}]
 	if k == nil {
 		k = c.scope.Tagged(map[string]string{"Call": call, "Outcome": outcome}).Counter("StoreCalls")
-		c.calls[callOutcome{call, outcome}] = k
+		c.calls[storeCall{call, outcome}] = k
 	}
 	c.mu.Unlock()
 	k.Inc(1)
@@ -163,9 +163,9 @@
 	g.Update(value)
 }
 
-// text returns all counts in the text format of Prometheus.
+// text renders all metrics in the Prometheus text format.
 func (c *counters) text() []byte {
-	for kind := range kinds {
+	for kind := range kindCount {
 		for _, r := range bronzesteer.Reasons() {
 			c.decisionCounter(bronzesteer.Kind(kind), r)
 		}
--- a/bronzeedge/counters_test.go
+++ b/bronzeedge/counters_test.go
@@ -9,16 +9,16 @@
 	"bronzeusher.example/bronzeusher/bronzesteer"
 )
 
-func TestCountersShowEachReason(t *testing.T) {
+func TestCountersText(t *testing.T) {
 	c := newCounters()
 	c.decision(&bronzesteer.Decision{Kind: bronzesteer.End, Reason: bronzesteer.ServerSilent})
 	c.event("Malformed")
 	c.gauge("Revision", 7)
-	c.opening.RecordDuration(30 * time.Millisecond)
+	c.openingTime.RecordDuration(30 * time.Millisecond)
 	c.call("Watch", "503")
 	c.sent.add(120)
-	c.deciding.RecordDuration(3 * time.Microsecond)
-	c.knowledge.RecordDuration(4 * time.Second)
+	c.decisionTime.RecordDuration(3 * time.Microsecond)
+	c.confirmationAge.RecordDuration(4 * time.Second)
 	text := string(c.text())
 	require.Contains(t, text, "bronzeusher_Decisions{Kind=\"End\",Reason=\"ServerSilent\"} 1\n")
 	require.Contains(t, text, "bronzeusher_Decisions{Kind=\"End\",Reason=\"NoRoute\"} 0\n")
--- a/bronzeedge/edge.go
+++ b/bronzeedge/edge.go
@@ -299,7 +299,7 @@
 		now := time.Now()
 		e.gossip.Tick(now)
 		e.checkConfirmed(now)
-		e.counts.knowledge.RecordDuration(e.gossip.SinceConfirmed(now))
+		e.counts.confirmationAge.RecordDuration(e.gossip.SinceConfirmed(now))
 		for _, ended := range e.steerer.Sweep(now) {
 			w.endFlow(&ended)
 		}
--- a/bronzeedge/log.go
+++ b/bronzeedge/log.go
@@ -13,39 +13,38 @@
 type Fields = logrus.Fields
 
 const (
-	// logGather is how long lines gather for one write. A line costs a system
-	// call otherwise, which is a tenth of a packet's processor time; a process
-	// that is killed loses this much of its log.
-	logGather = 50 * time.Millisecond
-	// logPending bounds the lines that wait for a reader of the output, of some
-	// hundred bytes each. Beyond it lines are left out and counted.
-	logPending = 512
-	// logPerSecond is how many lines of one message are kept in a second.
-	// Further ones are counted, and the count is logged.
-	logPerSecond = 200
+	// logFlushDelay is how long lines are collected for one write. One system call a line
+	// would take a tenth of a packet's processor time. A process that is killed loses this
+	// much of its log.
+	logFlushDelay = 50 * time.Millisecond
+	// maxPendingLines bounds the lines, of some hundred bytes each, that wait while the
+	// output isn't read. Further lines are dropped and counted.
+	maxPendingLines = 512
+	// maxLinesPerSecond bounds the lines with the same message in one second. Further lines
+	// are dropped, and their number is logged.
+	maxLinesPerSecond = 200
 )
 
-// Log writes JSON lines without ever blocking its callers: lines wait in
-// memory, and those that are too many are counted in place of being written.
-// Lines are put into JSON when they are written, so that a node that starts, or
-// takes in many changes, forwards packets first.
+// Log writes JSON lines without blocking its callers. Lines are queued in memory; excess
+// lines are dropped and counted. They are formatted by the goroutine that writes them, so
+// that a node that starts or applies many changes forwards packets first.
 type Log struct {
-	// logger and formatted are used by the goroutine that writes alone.
+	// logger and formatted are used only by the writing goroutine.
 	logger    *logrus.Logger
 	formatted bytes.Buffer
 	out       io.Writer
 
-	mu      sync.Mutex
-	pending []line
-	wake    chan struct{}
-	second  time.Time
-	counts  map[string]int
-	leftOut map[string]int
-	closed  chan struct{}
-	done    chan struct{}
+	mu          sync.Mutex
+	pending     []line
+	wake        chan struct{}
+	secondStart time.Time
+	counts      map[string]int
+	dropped     map[string]int
+	closed      chan struct{}
+	done        chan struct{}
 }
 
-// line is a line that waits.
+// line is a queued log line.
 type line struct {
 	at      time.Time
 	level   logrus.Level
@@ -53,12 +52,12 @@
 	fields  Fields
 }
 
-// NewLog returns a log that writes to out. Close ends it.
+// NewLog returns a Log that writes to out until Close is called.
 func NewLog(out io.Writer) *Log {
 	l := &Log{
 		logger: logrus.New(), out: out,
 		wake: make(chan struct{}, 1), closed: make(chan struct{}), done: make(chan struct{}),
-		counts: make(map[string]int), leftOut: make(map[string]int),
+		counts: make(map[string]int), dropped: make(map[string]int),
 	}
 	l.logger.SetOutput(&l.formatted)
 	l.logger.SetFormatter(&logrus.JSONFormatter{
@@ -67,59 +66,59 @@
 			logrus.FieldKeyTime: "Time", logrus.FieldKeyLevel: "Level", logrus.FieldKeyMsg: "Message",
 		},
 	})
-	go l.write()
+	go l.run()
 	return l
 }
 
-// Line writes one line, unless there are too many. The caller must not change
-// fields any more.
+// Line queues a line at level info, or drops it if a limit is reached. The caller must not
+// modify fields afterwards.
 func (l *Log) Line(message string, fields Fields) {
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.roll(now)
+	l.startSecond(now)
 	l.counts[message]++
-	if l.counts[message] > logPerSecond || len(l.pending) >= logPending {
-		l.leftOut[message]++
+	if l.counts[message] > maxLinesPerSecond || len(l.pending) >= maxPendingLines {
+		l.dropped[message]++
 		return
 	}
 	l.pending = append(l.pending, line{at: now, level: logrus.InfoLevel, message: message, fields: fields})
-	l.signal()
+	l.wakeWriter()
 }
 
-// roll begins a new second, with a line that says what was left out of the
-// one before.
-func (l *Log) roll(now time.Time) {
-	if now.Sub(l.second) < time.Second {
+// startSecond begins a new second if the current one is over, and queues a line with the
+// numbers of dropped lines if there is room.
+func (l *Log) startSecond(now time.Time) {
+	if now.Sub(l.secondStart) < time.Second {
 		return
 	}
-	l.second = now
+	l.secondStart = now
 	clear(l.counts)
-	if len(l.leftOut) == 0 || len(l.pending) >= logPending {
+	if len(l.dropped) == 0 || len(l.pending) >= maxPendingLines {
 		return
 	}
-	fields := make(Fields, len(l.leftOut))
-	for message, n := range l.leftOut {
+	fields := make(Fields, len(l.dropped))
+	for message, n := range l.dropped {
 		fields[message] = n
 	}
-	clear(l.leftOut)
+	clear(l.dropped)
 	l.pending = append(l.pending, line{at: now, level: logrus.WarnLevel, message: "LeftOut", fields: Fields{"Lines": fields}})
 }
 
-func (l *Log) signal() {
+func (l *Log) wakeWriter() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
-// write hands pending lines to the output.
-func (l *Log) write() {
+// run writes pending lines to the output until the log is closed.
+func (l *Log) run() {
 	defer close(l.done)
 	for {
 		select {
 		case <-l.wake:
-			pauseUntil(l.closed, logGather)
+			waitOrTimeout(l.closed, logFlushDelay)
 		case <-l.closed:
 			l.flush()
 			return
@@ -139,19 +138,19 @@
 	for _, p := range pending {
 		l.logger.WithTime(p.at).WithFields(p.fields).Log(p.level, p.message)
 	}
-	// An output that fails can't be told about; the counters remain.
+	// A write error can't be reported here; the metrics remain available.
 	_, _ = l.out.Write(l.formatted.Bytes())
 	l.formatted.Reset()
 }
 
-// Close writes what is pending, unless nobody reads the output for a second,
-// and ends the log.
+// Close writes the pending lines and ends the log. It waits at most a second for the
+// output.
 func (l *Log) Close() {
 	close(l.closed)
-	pauseUntil(l.done, time.Second)
+	waitOrTimeout(l.done, time.Second)
 }
 
-func pauseUntil(done <-chan struct{}, d time.Duration) {
+func waitOrTimeout(done <-chan struct{}, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/bronzeedge/metrics.go
+++ b/bronzeedge/metrics.go
@@ -10,21 +10,21 @@
 	"bronzeusher.example/bronzeusher/bronzesteer"
 )
 
-// Paths that are served at Config.MetricsAddress.
+// Paths served at Config.MetricsAddress.
 const (
 	metricsPath = "/metrics"
-	// StatusPath answers with a Status as JSON.
+	// StatusPath serves the node's Status as JSON.
 	StatusPath = "/status"
 )
 
 func (e *Edge) metricsHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+metricsPath, e.answerMetrics)
-	mux.HandleFunc("GET "+StatusPath, e.answerStatus)
+	mux.HandleFunc("GET "+metricsPath, e.serveMetrics)
+	mux.HandleFunc("GET "+StatusPath, e.serveStatus)
 	return mux
 }
 
-func (e *Edge) answerMetrics(w http.ResponseWriter, _ *http.Request) {
+func (e *Edge) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	now := time.Now()
 	p := e.records.Position()
 	e.counts.gauge("Epoch", float64(p.Epoch))
@@ -42,28 +42,30 @@
 	}
 }
 
-// Status is what a node says of itself to an operator.
+// Status is the state of a node as reported to operators.
 type Status struct {
 	Name             string
 	AvailabilityZone string
 	Ready            bool
 	Leaving          bool
-	// Epoch and Revision are those of the records in force, Version that of the routes,
-	// and ConfirmedSeconds how long ago the store said there is none newer.
+	// Epoch and Revision are the position of the records in force, and Version is the
+	// version of the table. ConfirmedSeconds is the time since the store last confirmed
+	// that the records are the newest.
 	Epoch            uint64
 	Revision         uint64
 	Version          uint64
 	Routes           int
 	ConfirmedSeconds float64
 	ReadsStore       bool
-	// DrainedZones take no new flows; FlowsInDrainedZones are open there still.
+	// DrainedZones take no new flows; FlowsInDrainedZones counts the flows still open
+	// there.
 	DrainedZones        []string
 	FlowsInDrainedZones int
 	Peers               []bronzegossip.Peer
 	Servers             []bronzesteer.ServerStatus
 }
 
-// Status returns the node's state.
+// Status returns the node's current state.
 func (e *Edge) Status() (s Status) {
 	now := time.Now()
 	p := e.records.Position()
@@ -80,7 +82,7 @@
 	return s
 }
 
-func (e *Edge) answerStatus(w http.ResponseWriter, _ *http.Request) {
+func (e *Edge) serveStatus(w http.ResponseWriter, _ *http.Request) {
 	b, err := json.MarshalIndent(e.Status(), "", "  ")
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
--- a/bronzeedge/packets.go
+++ b/bronzeedge/packets.go
@@ -74,7 +74,7 @@
 			w.handle(w.in[i].Buf[:w.in[i].N], now)
 		}
 		// The mean of the batch, so that the clock is read once for all its packets.
-		e.counts.deciding.RecordDuration(time.Since(now) / time.Duration(max(n, 1)))
+		e.counts.decisionTime.RecordDuration(time.Since(now) / time.Duration(max(n, 1)))
 		w.flush()
 		if w.deadlinePassed && n < len(w.in) {
 			w.hedge()
@@ -108,7 +108,7 @@
 		e.count("NotFollowed" + d.TrackingDenial.String())
 	}
 	if d.HandshakeTime > 0 {
-		e.counts.opening.RecordDuration(d.HandshakeTime)
+		e.counts.openingTime.RecordDuration(d.HandshakeTime)
 	}
 	if d.Hedge != bronzesteer.NotHedged {
 		e.count(d.Hedge.String())
--- a/bronzeedge/ready.go
+++ b/bronzeedge/ready.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// readyWait is how long an answer to the question whether this node is ready
-// waits for its first view. A router that asks while the node starts sends it
-// packets half a second earlier than if it had to ask again.
+// readyWait is how long a readiness check waits for the first view. A router that asks
+// while the node starts then sends it packets half a second earlier than if it had to ask
+// again.
 const readyWait = 400 * time.Millisecond
 
 func (e *Edge) readyHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+e.adapter.ReadyPath, e.answerReady)
+	mux.HandleFunc("GET "+e.adapter.ReadyPath, e.serveReady)
 	return mux
 }
 
-// answerReady answers 200 if the node takes packets. Once it leaves it never
-// does again: a view that arrives later must not bring it back.
-func (e *Edge) answerReady(w http.ResponseWriter, r *http.Request) {
+// serveReady responds with 200 if the node takes packets. After Leave it never does again,
+// even if a view arrives later.
+func (e *Edge) serveReady(w http.ResponseWriter, r *http.Request) {
 	timer := time.NewTimer(readyWait)
 	defer timer.Stop()
 	select {
