--- a/bronzeedge/recall_test.go
+++ b/bronzeedge/recall_test.go
@@ -19,8 +19,8 @@
 	"bronzeusher.example/bronzeusher/bronzeroute"
 )
 
-// The names and bodies of records in these tests: a table's body is its version, a server's
-// whether it drains and its sequence.
+// Names and bodies of the records in these tests. The body of a table is its version, that
+// of a server whether it is draining, and its sequence.
 const (
 	tableRecord  = "table"
 	zonePrefix   = "zone/"
@@ -52,56 +52,58 @@
 	}
 }
 
-// deed is what a writer of the store wants it to hold of one name.
-type deed struct {
+// serverState is what the store should hold of a server.
+type serverState struct {
 	draining bool
 	sequence uint64
 }
 
-// copied is what the store held at some moment.
-type copied struct {
+// storeContents is what the store holds at some moment.
+type storeContents struct {
 	revision uint64
 	records  map[string]bronzerecord.Record
 	removed  []bronzerecord.Removal
 }
 
-// drill is a store that comes back from copies, its writers, and two nodes.
-type drill struct {
+// deploymentModel models a store that is restored from backups, its writers, and two nodes.
+type deploymentModel struct {
 	epoch uint64
-	copied
-	copies []copied
-	// version, zones and servers are what the writers have written last.
+	storeContents
+	backups []storeContents
+	// version, zones and servers are what the writers wrote last.
 	version uint64
 	zones   map[string]bool
-	servers map[string]*deed
-	// restoredAt is when the store last came back, the zero time if all was written again.
+	servers map[string]*serverState
+	// restoredAt is when the store was last restored, zero once everything has been written
+	// again.
 	restoredAt time.Time
-	nodes      [2]*drillNode
-	// begun counts the servers that have started.
-	begun int
+	nodes      [2]*modelNode
+	// startedServers counts the servers that have started.
+	startedServers int
 }
 
-// drillNode is a node, and what it has known since its start.
-type drillNode struct {
+// modelNode is a node and what it has known since its start.
+type modelNode struct {
 	edge    *Edge
 	version uint64
-	// left said that they leave, ended are those whose registrations were removed.
-	left    map[string]bool
+	// leaving are the servers that said they are leaving, ended those whose registrations
+	// were removed.
+	leaving map[string]bool
 	ended   map[string]bool
 	drained map[string]bool
 }
 
-func newDrill() *drill {
-	d := &drill{zones: map[string]bool{}, servers: map[string]*deed{}, copied: copied{records: map[string]bronzerecord.Record{}}}
-	d.publish()
+func newDeploymentModel() *deploymentModel {
+	d := &deploymentModel{zones: map[string]bool{}, servers: map[string]*serverState{}, storeContents: storeContents{records: map[string]bronzerecord.Record{}}}
+	d.publishTable()
 	for i := range d.nodes {
-		d.start(i)
+		d.startNode(i)
 	}
 	return d
 }
 
-// start has a node start anew.
-func (d *drill) start(i int) {
+// startNode starts or restarts a node, with no records.
+func (d *deploymentModel) startNode(i int) {
 	if d.nodes[i] != nil {
 		d.nodes[i].edge.log.Close()
 	}
@@ -109,72 +111,73 @@
 	e.adapter.Decoder = testDecoder()
 	e.gossip.Records = &e.records
 	e.records.OnChange = e.onRecords
-	d.nodes[i] = &drillNode{edge: e, left: map[string]bool{}, ended: map[string]bool{}, drained: map[string]bool{}}
+	d.nodes[i] = &modelNode{edge: e, leaving: map[string]bool{}, ended: map[string]bool{}, drained: map[string]bool{}}
 }
 
-func (d *drill) stop() {
+func (d *deploymentModel) stop() {
 	for _, n := range d.nodes {
 		n.edge.log.Close()
 	}
 }
 
-func (d *drill) put(name, body string) {
+func (d *deploymentModel) put(name, body string) {
 	d.revision++
 	d.records[name] = bronzerecord.Record{Name: name, Revision: d.revision, Created: d.revision, Body: []byte(body)}
 }
 
-func (d *drill) remove(name string) {
+func (d *deploymentModel) remove(name string) {
 	d.revision++
 	delete(d.records, name)
 	d.removed = append(d.removed, bronzerecord.Removal{Name: name, Revision: d.revision})
 }
 
-func (d *drill) publish() {
+func (d *deploymentModel) publishTable() {
 	d.version++
 	d.put(tableRecord, fmt.Sprint(d.version))
 }
 
 // register writes a server's registration.
-func (d *drill) register(name string) {
+func (d *deploymentModel) register(name string) {
 	s := d.servers[name]
 	s.sequence++
 	d.put(serverPrefix+name, fmt.Sprint(s.draining, s.sequence))
 }
 
-// end has a server end; its registration goes with it.
-func (d *drill) end(name string) {
+// endServer ends a server and removes its registration.
+func (d *deploymentModel) endServer(name string) {
 	delete(d.servers, name)
 	if _, ok := d.records[serverPrefix+name]; ok {
 		d.remove(serverPrefix + name)
 	}
 }
 
-func (d *drill) drain(zone string) {
+func (d *deploymentModel) drainZone(zone string) {
 	d.zones[zone] = true
 	d.put(zonePrefix+zone, "")
 }
 
-func (d *drill) takeBack(zone string) {
+func (d *deploymentModel) undrainZone(zone string) {
 	delete(d.zones, zone)
 	if _, ok := d.records[zonePrefix+zone]; ok {
 		d.remove(zonePrefix + zone)
 	}
 }
 
-func (c *copied) clone() copied {
-	return copied{revision: c.revision, records: maps.Clone(c.records), removed: slices.Clone(c.removed)}
+func (c *storeContents) clone() storeContents {
+	return storeContents{revision: c.revision, records: maps.Clone(c.records), removed: slices.Clone(c.removed)}
 }
 
-// restore has the store come back from a copy.
-func (d *drill) restore(i int) {
+// restore restores the store from a backup, in a new epoch.
+func (d *deploymentModel) restore(i int) {
 	d.epoch++
-	d.copied = d.copies[i].clone()
-	d.copies = d.copies[:i+1]
+	d.storeContents = d.backups[i].clone()
+	d.backups = d.backups[:i+1]
 	d.restoredAt = time.Now()
 }
 
-// writeAgain has all writers write what the store doesn't hold, and lapse what has none.
-func (d *drill) writeAgain() {
+// rewrite makes all writers write again what the store lacks, and removes records that no
+// writer has.
+func (d *deploymentModel) rewrite() {
 	d.restoredAt = time.Time{}
 	if string(d.records[tableRecord].Body) != fmt.Sprint(d.version) {
 		d.put(tableRecord, fmt.Sprint(d.version))
@@ -188,7 +191,7 @@
 	}
 	for _, zone := range slices.Sorted(maps.Keys(d.zones)) {
 		if _, ok := d.records[zonePrefix+zone]; !ok {
-			d.drain(zone)
+			d.drainZone(zone)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(d.servers)) {
@@ -199,8 +202,8 @@
 	}
 }
 
-// read brings a node to what the store holds.
-func (d *drill) read(i int) {
+// readStore updates a node's records from the store.
+func (d *deploymentModel) readStore(i int) {
 	n := d.nodes[i]
 	p := n.edge.records.Position()
 	delta := bronzerecord.Delta{Epoch: d.epoch, From: p.Revision, To: d.revision, Whole: p.IsZero() || p.Epoch != d.epoch}
@@ -220,24 +223,24 @@
 			n.ended[server] = true
 		}
 	}
-	d.note(n)
+	d.noteView(n)
 }
 
-// ask brings a node to what the other one knows, also of what the store lost.
-func (d *drill) ask(i int) {
+// askPeer updates a node's records from the other node, including what the store lost.
+func (d *deploymentModel) askPeer(i int) {
 	n, peer := d.nodes[i], d.nodes[1-i]
 	if delta, ok := peer.edge.records.Since(n.edge.records.Position()); ok {
 		n.edge.records.Apply(delta)
 	}
-	if r, ok := peer.edge.records.LostHistory(); ok {
-		n.edge.records.MergeLostHistory(r)
-		d.tell(n, peer, r.Lost)
+	if history, ok := peer.edge.records.LostHistory(); ok {
+		n.edge.records.MergeLostHistory(history)
+		d.noteLost(n, peer, history.Lost)
 	}
-	d.note(n)
+	d.noteView(n)
 }
 
-// tell takes in what a node must know since a peer told it what the store lost.
-func (d *drill) tell(n, peer *drillNode, lost []bronzerecord.LostRecord) {
+// noteLost records what a node must know after a peer told it what the store lost.
+func (d *deploymentModel) noteLost(n, peer *modelNode, lost []bronzerecord.LostRecord) {
 	if n.edge.records.Position() != peer.edge.records.Position() {
 		return
 	}
@@ -248,7 +251,7 @@
 		switch {
 		case l.Removed:
 		case isServer:
-			n.left[server] = n.left[server] || strings.HasPrefix(string(l.Record.Body), "true")
+			n.leaving[server] = n.leaving[server] || strings.HasPrefix(string(l.Record.Body), "true")
 		case isZone:
 			n.drained[zone] = n.drained[zone] || l.Absent
 		default:
@@ -259,8 +262,8 @@
 	}
 }
 
-// note takes in what a node knows now.
-func (d *drill) note(n *drillNode) {
+// noteView records what a node knows now.
+func (d *deploymentModel) noteView(n *modelNode) {
 	v := n.edge.steerer.View()
 	if v == nil {
 		return
@@ -268,7 +271,7 @@
 	n.version = max(n.version, v.Table.Version)
 	for _, s := range v.Servers {
 		if s.Draining {
-			n.left[s.Instance] = true
+			n.leaving[s.Instance] = true
 		}
 	}
 	for _, zone := range v.DrainedZones {
@@ -276,8 +279,9 @@
 	}
 }
 
-// check fails if a node goes by what it knew to be over.
-func (d *drill) check(t require.TestingT) {
+// check fails if a node forgets something that it has known: if it goes back to an older
+// table, lets a server serve again that ended or is leaving, or doesn't keep a zone drained.
+func (d *deploymentModel) check(t require.TestingT) {
 	for i, n := range d.nodes {
 		v := n.edge.steerer.View()
 		if v == nil {
@@ -287,9 +291,9 @@
 		n.version = v.Table.Version
 		for _, s := range v.Servers {
 			serves := s.Status == bronzeroute.Serving
-			require.False(t, n.ended[s.Instance] && serves, "node %d has %s serve again that ended", i, s.Instance)
+			require.False(t, n.ended[s.Instance] && serves, "node %d lets %s serve again although it ended", i, s.Instance)
 			serves = serves || s.Status == bronzeroute.Missing
-			require.False(t, n.left[s.Instance] && serves, "node %d has %s serve again that leaves", i, s.Instance)
+			require.False(t, n.leaving[s.Instance] && serves, "node %d lets %s serve again although it is leaving", i, s.Instance)
 		}
 		maps.DeleteFunc(n.drained, func(zone string, drained bool) bool { return !drained || !d.zones[zone] })
 		for zone := range n.drained {
@@ -298,16 +302,16 @@
 	}
 }
 
-// pass lets time pass.
-func (d *drill) pass(t time.Duration) {
+// advance lets time pass, in the nodes' directories, too.
+func (d *deploymentModel) advance(t time.Duration) {
 	time.Sleep(t)
 	for _, n := range d.nodes {
 		n.edge.advanceDirectory(time.Now())
 	}
 }
 
-// agree fails unless all nodes go by what the writers wrote last.
-func (d *drill) agree(t require.TestingT) {
+// checkConverged fails unless the views of all nodes match what the writers wrote last.
+func (d *deploymentModel) checkConverged(t require.TestingT) {
 	for _, n := range d.nodes {
 		v := n.edge.steerer.View()
 		require.Equal(t, d.version, v.Table.Version)
@@ -327,31 +331,32 @@
 	}
 }
 
-// failure is what first failed. It is caught where the paused clock ends, since rapid can't stop
-// a test from within.
+// failure records the first failed assertion. It is recovered inside the synctest bubble,
+// since rapid can't stop a test from there.
 type failure struct{ text string }
 
-// Errorf notes what failed.
+// Errorf records the text of the failure.
 func (f *failure) Errorf(format string, args ...any) { f.text = fmt.Sprintf(format, args...) }
 
-// FailNow ends the run.
+// FailNow ends the run by a panic that catch recovers.
 func (f *failure) FailNow() { panic(f) }
 
-// catch ends a failed run.
+// catch recovers the panic of FailNow.
 func (f *failure) catch() {
 	if r := recover(); r != nil && r != any(f) {
 		panic(r)
 	}
 }
 
-// drillStep is one thing that is done; Pick chooses what to.
-type drillStep struct {
+// step is one event; Pick chooses the server, zone, node or backup that it concerns.
+type step struct {
 	Kind         string
 	Pick         int
 	Milliseconds int
 }
 
-// The kinds of steps.
+// Kinds of steps. Begin, Leave and End concern a server, Drain and TakeBack a zone, Copy
+// and Restore the store's backups, and Read, Ask and Start a node.
 const (
 	stepPublish  = "Publish"
 	stepBegin    = "Begin"
@@ -366,31 +371,31 @@
 	stepStart    = "Start"
 )
 
-func drawSteps(r *rapid.T) []drillStep {
+func drawSteps(r *rapid.T) []step {
 	kinds := []string{
 		stepPublish, stepBegin, stepBegin, stepLeave, stepLeave, stepEnd, stepDrain, stepTakeBack, stepCopy, stepCopy,
 		stepRestore, stepRestore, stepRead, stepRead, stepRead, stepAsk, stepAsk, stepStart,
 	}
-	return rapid.SliceOfN(rapid.Custom(func(r *rapid.T) drillStep {
-		return drillStep{
+	return rapid.SliceOfN(rapid.Custom(func(r *rapid.T) step {
+		return step{
 			Kind: rapid.SampledFrom(kinds).Draw(r, "Kind"), Pick: rapid.IntRange(0, 7).Draw(r, "Pick"),
 			Milliseconds: rapid.IntRange(0, 500).Draw(r, "Milliseconds"),
 		}
 	}), 60, 200).Draw(r, "Steps")
 }
 
-// take does a step.
-func (d *drill) take(s drillStep) {
+// apply carries out a step.
+func (d *deploymentModel) apply(s step) {
 	zone := string(rune('a' + s.Pick%2))
 	node := s.Pick % len(d.nodes)
 	switch names := slices.Sorted(maps.Keys(d.servers)); s.Kind {
 	case stepPublish:
-		d.publish()
+		d.publishTable()
 	case stepBegin:
 		// A server that ended never comes back under its name.
-		d.begun++
-		name := fmt.Sprintf("%s-%d", zone, d.begun)
-		d.servers[name] = &deed{}
+		d.startedServers++
+		name := fmt.Sprintf("%s-%d", zone, d.startedServers)
+		d.servers[name] = &serverState{}
 		d.register(name)
 	case stepLeave:
 		if len(names) > 0 {
@@ -400,74 +405,75 @@
 		}
 	case stepEnd:
 		if len(names) > 0 {
-			d.end(names[s.Pick%len(names)])
+			d.endServer(names[s.Pick%len(names)])
 		}
 	case stepDrain:
-		d.drain(zone)
+		d.drainZone(zone)
 	case stepTakeBack:
-		d.takeBack(zone)
+		d.undrainZone(zone)
 	case stepCopy:
-		d.copies = append(d.copies, d.clone())
+		d.backups = append(d.backups, d.clone())
 	case stepRestore:
-		if len(d.copies) > 0 {
-			d.restore(max(0, len(d.copies)-1-s.Pick))
+		if len(d.backups) > 0 {
+			d.restore(max(0, len(d.backups)-1-s.Pick))
 		}
 	case stepRead:
-		d.read(node)
+		d.readStore(node)
 	case stepAsk:
-		d.ask(node)
+		d.askPeer(node)
 	case stepStart:
-		d.start(node)
+		d.startNode(node)
 	}
 }
 
-// settle has all written again and read.
-func (d *drill) settle() {
-	d.writeAgain()
+// settle has everything written again and read by all nodes.
+func (d *deploymentModel) settle() {
+	d.rewrite()
 	d.readAll()
 }
 
-func (d *drill) readAll() {
+func (d *deploymentModel) readAll() {
 	for i := range d.nodes {
-		d.read(i)
+		d.readStore(i)
 	}
 }
 
-// readWithin is how long after the store's return nodes read it, and writtenWithin how long
-// after it all has been written again.
+// readWithin is how long after a restore all nodes have read the store, and rewriteWithin
+// how long after it everything has been written again.
 const (
 	readWithin    = time.Second
-	writtenWithin = 3 * time.Second
+	rewriteWithin = 3 * time.Second
 )
 
-// run does the steps and checks after each.
-func (d *drill) run(t require.TestingT, steps []drillStep) {
+// run applies the steps, with a check after each.
+func (d *deploymentModel) run(t require.TestingT, steps []step) {
 	for _, s := range steps {
-		d.take(s)
-		d.pass(time.Duration(s.Milliseconds) * time.Millisecond)
-		switch away := time.Since(d.restoredAt); {
+		d.apply(s)
+		d.advance(time.Duration(s.Milliseconds) * time.Millisecond)
+		switch elapsed := time.Since(d.restoredAt); {
 		case d.restoredAt.IsZero():
-		case away >= writtenWithin:
+		case elapsed >= rewriteWithin:
 			d.settle()
-		case away >= readWithin:
+		case elapsed >= readWithin:
 			d.readAll()
 		}
 		d.check(t)
 	}
 	d.settle()
-	d.pass(bronzerecord.LostRetention)
-	d.pass(time.Second)
+	d.advance(bronzerecord.LostRetention)
+	d.advance(time.Second)
 	d.check(t)
-	d.agree(t)
+	d.checkConverged(t)
 }
 
-// Guards against a copy that brings back what a node knew to be over, in any order of events.
-func TestCopiesBringNothingBackThatWasOver(t *testing.T) {
+// Guards against a restored store that makes a node forget what it knew to be over, in any
+// order of events.
+func TestRestoreUndoesNothing(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		steps := drawSteps(r)
 		var failure failure
 		synctest.Test(t, func(*testing.T) {
-			d := newDrill()
+			d := newDeploymentModel()
 			defer d.stop()
 			defer failure.catch()
 			d.run(&failure, steps)
