--- a/bronzeedge/edge.go
+++ b/bronzeedge/edge.go
@@ -69,7 +69,7 @@
 
 // New creates an Edge and opens the addresses in cfg.
 func New(cfg Config, adapter Adapter, log *Log) (e *Edge, err error) {
-	defer func() { err = errors.Wrap(err, "make an edge") }()
+	defer func() { err = errors.Wrap(err, "create edge") }()
 	if err = cfg.Check(); err != nil {
 		return nil, err
 	}
--- a/bronzeedge/recall.go
+++ b/bronzeedge/recall.go
@@ -18,9 +18,9 @@
 
 // applyLost applies the state that a record had before the store lost it, until the record
 // is written again or bronzerecord.LostRetention has passed. A table is applied only if it
-// is the newest. A drain that had ended and is back in the store is obeyed: that only makes
-// callers' paths longer, while ignoring a drain that an operator has just requested would send
-// callers to servers that are about to end.
+// is the newest, and stays in force until a newer one. A drain that had ended and is back in
+// the store is obeyed: that only makes callers' paths longer, while ignoring a drain that an
+// operator has just requested would send callers to servers that are about to end.
 func (e *Edge) applyLost(l *bronzerecord.LostRecord, now time.Time) (changed bool) {
 	until := now.Add(bronzerecord.LostRetention - l.Age)
 	if e.adapter.Decoder.IsTable(l.Record.Name) {
--- a/bronzeedge/recall_test.go
+++ b/bronzeedge/recall_test.go
@@ -468,7 +468,7 @@
 
 // Guards against a restored store that makes a node forget what it knew to be over, in any
 // order of events.
-func TestRestoreUndoesNothing(t *testing.T) {
+func TestRestoredStore(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		steps := drawSteps(r)
 		var failure failure
