--- a/bronzesoak/check_test.go
+++ b/bronzesoak/check_test.go
@@ -24,20 +24,20 @@
 // newChecked returns a soak with a node and two servers of the live pool that
 // have all been left alone for long, and no sockets but the servers' own.
 func newChecked(t *testing.T) (s *soak, n *node, servers []*server) {
-	s = &soak{network: newNetwork(), store: &standin.Store{}, ledger: newLedger()}
+	s = &soak{network: newNetwork(), store: &standin.Store{}, tracker: newTracker()}
 	s.network.random = func() float64 { return 1 }
 	s.plan.WorkMS = 1
 	n = &node{soak: s, name: "node-0", zone: "zone-0"}
 	s.nodes = []*node{n}
 	s.network.nodes[netip.MustParseAddr("127.9.1.1")] = n.name
-	s.ledger.add(&route{service: liveRoute, pool: "live", addedAt: time.Now()})
-	s.ledger.add(&route{service: archiveRoute, pool: "archive", addedAt: time.Now()})
+	s.tracker.addRoute(&route{service: liveRoute, pool: "live", addedAt: time.Now()})
+	s.tracker.addRoute(&route{service: archiveRoute, pool: "archive", addedAt: time.Now()})
 	for i := range 2 {
 		conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = conn.Close() })
 		server := &server{soak: s, pool: "live", zone: "zone-0", conn: conn, flows: map[flowKey]*serverFlow{}}
-		server.name, server.number = serverName(i)
+		server.name, server.incarnation = serverName(i)
 		servers = append(servers, server)
 	}
 	s.servers = servers
@@ -46,7 +46,7 @@
 
 // broken returns the promises that were found broken.
 func (s *soak) broken() (list []Invariant) {
-	for _, b := range s.journal.broken {
+	for _, b := range s.violations.list {
 		list = append(list, b.Promise)
 	}
 	return list
@@ -60,27 +60,27 @@
 func data(s *server, to netip.AddrPort, payload []byte) *standin.Packet {
 	f := s.flows[flowKey{caller, to}]
 	return &standin.Packet{
-		Source: caller, Destination: to, Sequence: f.next, Acknowledged: f.sequence + 1, Payload: payload, ChecksumValid: true,
+		Source: caller, Destination: to, Sequence: f.acknowledged, Acknowledged: f.sequence + 1, Payload: payload, ChecksumValid: true,
 	}
 }
 
 // openAt opens the caller's flow at a server.
 func openAt(n *node, s *server) {
-	s.take(n, opening(liveRoute))
-	s.take(n, data(s, liveRoute, nil))
+	s.handle(n, opening(liveRoute))
+	s.handle(n, data(s, liveRoute, nil))
 }
 
 func TestServerOfAnotherPool(t *testing.T) {
 	s, n, servers := newChecked(t)
-	servers[0].take(n, opening(archiveRoute))
-	servers[0].take(n, opening(netip.MustParseAddrPort("198.18.0.9:443")))
+	servers[0].handle(n, opening(archiveRoute))
+	servers[0].handle(n, opening(netip.MustParseAddrPort("198.18.0.9:443")))
 	require.Equal(t, []Invariant{Misrouted, Misrouted}, s.broken())
 }
 
 func TestAlteredPacket(t *testing.T) {
 	s, _, servers := newChecked(t)
 	b := opening(liveRoute).Bytes()
-	guarded := append(binary.BigEndian.AppendUint64(nil, servers[0].number), b...)
+	guarded := append(binary.BigEndian.AppendUint64(nil, servers[0].incarnation), b...)
 	guarded[8+4]++ // the sequence number
 	servers[0].receive("node-0", guarded)
 	require.Equal(t, []Invariant{Altered}, s.broken())
@@ -98,26 +98,26 @@
 		s, n, servers := newChecked(t)
 		openAt(n, servers[0])
 		f := &callerFlow{key: flowKey{caller, liveRoute}}
-		reset := arrival{Packet: standin.Packet{Reset: true}, from: netip.MustParseAddr("127.9.1.1")}
+		reset := receivedPacket{Packet: standin.Packet{Reset: true}, from: netip.MustParseAddr("127.9.1.1")}
 		own := reset
 		own.ChecksumValid = true
-		s.judgeReset(f, &own)
+		s.checkReset(f, &own)
 		require.Empty(t, s.broken(), "the server itself")
 
 		n.disturb(0, false)
-		s.judgeReset(f, &reset)
-		time.Sleep(settled)
-		servers[0].calm.disturb(time.Now())
-		s.judgeReset(f, &reset)
+		s.checkReset(f, &reset)
+		time.Sleep(settleTime)
+		servers[0].disturbance.extend(time.Now())
+		s.checkReset(f, &reset)
 		require.Empty(t, s.broken(), "after harm")
 
-		time.Sleep(settled)
+		time.Sleep(settleTime)
 		n.disturb(0, true)
-		s.judgeReset(f, &reset)
+		s.checkReset(f, &reset)
 		require.Equal(t, []Invariant{BrokenFlow}, s.broken(), "planned work is no excuse")
 
-		s.ledger.remove(liveRoute, time.Now())
-		s.judgeReset(f, &reset)
+		s.tracker.removeRoute(liveRoute, time.Now())
+		s.checkReset(f, &reset)
 		require.Len(t, s.broken(), 1, "the route is gone")
 	})
 }
@@ -127,15 +127,15 @@
 		s, n, servers := newChecked(t)
 		openAt(n, servers[0])
 		stray := &standin.Packet{Source: caller, Destination: liveRoute, ChecksumValid: true}
-		time.Sleep(strayedFor)
-		for range strayedMost - 1 {
-			servers[1].take(n, stray)
+		time.Sleep(strayTimeout)
+		for range minStrays - 1 {
+			servers[1].handle(n, stray)
 		}
 		require.Empty(t, s.broken())
-		servers[1].take(n, stray)
+		servers[1].handle(n, stray)
 		require.Equal(t, []Invariant{Strayed}, s.broken())
-		servers[0].take(n, data(servers[0], liveRoute, nil))
-		servers[1].take(n, stray)
+		servers[0].handle(n, data(servers[0], liveRoute, nil))
+		servers[1].handle(n, stray)
 		require.Len(t, s.broken(), 1)
 	})
 }
@@ -144,8 +144,8 @@
 	s, n, servers := newChecked(t)
 	request := append(binary.LittleEndian.AppendUint64(nil, 42), 0)
 	for i, server := range servers {
-		server.take(n, opening(liveRoute))
-		server.take(n, data(server, liveRoute, request))
+		server.handle(n, opening(liveRoute))
+		server.handle(n, data(server, liveRoute, request))
 		require.Len(t, s.broken(), i)
 	}
 	require.Equal(t, []Invariant{RanTwice}, s.broken())
@@ -157,17 +157,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, n, servers := newChecked(t)
 		servers[0].drainedAt = time.Now()
-		servers[0].take(n, opening(liveRoute))
+		servers[0].handle(n, opening(liveRoute))
 		require.Empty(t, s.broken())
-		time.Sleep(published + copies + time.Millisecond)
-		servers[0].take(n, opening(liveRoute))
+		time.Sleep(propagationTime + openRetransmitTime + time.Millisecond)
+		servers[0].handle(n, opening(liveRoute))
 		require.Equal(t, []Invariant{NewOnDraining}, s.broken())
-		s.ledger.remove(liveRoute, time.Now())
-		time.Sleep(published + copies + time.Millisecond)
-		servers[1].take(n, opening(liveRoute))
+		s.tracker.removeRoute(liveRoute, time.Now())
+		time.Sleep(propagationTime + openRetransmitTime + time.Millisecond)
+		servers[1].handle(n, opening(liveRoute))
 		require.Equal(t, []Invariant{NewOnDraining, OldTable}, s.broken())
 		n.disturb(0, false)
-		servers[1].take(n, opening(liveRoute))
+		servers[1].handle(n, opening(liveRoute))
 		require.Len(t, s.broken(), 2)
 	})
 }
@@ -176,15 +176,15 @@
 func TestOpeningsInADrainedZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, n, servers := newChecked(t)
-		require.True(t, s.drained.begin(servers[0].zone))
-		require.False(t, s.drained.begin("another"))
-		servers[0].take(n, opening(liveRoute))
+		require.True(t, s.zoneDrain.begin(servers[0].zone))
+		require.False(t, s.zoneDrain.begin("another"))
+		servers[0].handle(n, opening(liveRoute))
 		require.Empty(t, s.broken())
-		time.Sleep(published + copies + time.Millisecond)
-		servers[0].take(n, opening(liveRoute))
+		time.Sleep(propagationTime + openRetransmitTime + time.Millisecond)
+		servers[0].handle(n, opening(liveRoute))
 		require.Equal(t, []Invariant{NewInDrainedZone}, s.broken())
-		s.drained.end()
-		servers[0].take(n, opening(liveRoute))
+		s.zoneDrain.end()
+		servers[0].handle(n, opening(liveRoute))
 		require.Len(t, s.broken(), 1)
 	})
 }
@@ -215,7 +215,7 @@
 	require.Zero(t, n.leavingFor())
 
 	told := time.Now().Add(-1500 * time.Millisecond)
-	n.leaveAt = told
+	n.leavingSince = told
 	n.signal(syscall.SIGCONT)
-	require.True(t, n.leaveAt.After(told))
+	require.True(t, n.leavingSince.After(told))
 }
--- a/bronzesoak/counts.go
+++ b/bronzesoak/counts.go
@@ -14,7 +14,7 @@
 	// WorstMS is the 99th percentile of the times of those served.
 	WorstMS int64
 
-	took []time.Duration
+	latencies []time.Duration
 }
 
 func (s *SecondStats) total() int { return s.Served + s.Failed + s.Rejected }
@@ -22,14 +22,14 @@
 // counts counts requests by the second in which they began.
 type counts struct {
 	mu      sync.Mutex
-	begun   time.Time
+	start   time.Time
 	seconds []SecondStats
 }
 
 func (c *counts) add(at time.Time, took time.Duration, o outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	i := int(at.Sub(c.begun) / time.Second)
+	i := int(at.Sub(c.start) / time.Second)
 	if i < 0 {
 		return
 	}
@@ -40,7 +40,7 @@
 	switch o {
 	case served:
 		s.Served++
-		s.took = append(s.took, took)
+		s.latencies = append(s.latencies, took)
 	case rejected:
 		s.Rejected++
 	default:
@@ -48,8 +48,8 @@
 	}
 }
 
-// worst is the percentile of times that is reported.
-const worst = 0.99
+// worstQuantile is the percentile of times that is reported.
+const worstQuantile = 0.99
 
 func (c *counts) list() []SecondStats {
 	c.mu.Lock()
@@ -57,9 +57,9 @@
 	list := slices.Clone(c.seconds)
 	for i := range list {
 		s := &list[i]
-		slices.Sort(s.took)
-		if n := len(s.took); n > 0 {
-			s.WorstMS = s.took[min(int(worst*float64(n)), n-1)].Milliseconds()
+		slices.Sort(s.latencies)
+		if n := len(s.latencies); n > 0 {
+			s.WorstMS = s.latencies[min(int(worstQuantile*float64(n)), n-1)].Milliseconds()
 		}
 	}
 	return list
--- a/bronzesoak/event.go
+++ b/bronzesoak/event.go
@@ -19,35 +19,35 @@
 	zone := zoneName(e.Target % s.plan.Zones)
 	switch e.Kind {
 	case KillNode:
-		n.kill(ctx, e.lasts())
+		n.kill(ctx, e.duration())
 	case KillAll:
-		s.killAll(ctx, e.lasts())
+		s.killAll(ctx, e.duration())
 	case LeaveNode:
 		n.restart(ctx)
 	case RollNodes:
-		s.roll(ctx, e.lasts())
+		s.rollingRestart(ctx, e.duration())
 	case PauseNode:
-		n.pause(ctx, e.lasts())
+		n.pause(ctx, e.duration())
 	case ReloadNode:
 		n.reload()
 	case CutStore:
 		s.cutStore(ctx, n, e)
 	case CutPeers:
-		n.disturb(e.lasts(), false)
-		s.during(ctx, e.lasts(), func(by int) { s.network.peers[n.name] += by })
+		n.disturb(e.duration(), false)
+		s.changeFor(ctx, e.duration(), func(by int) { s.network.isolated[n.name] += by })
 		n.disturb(0, false)
 	case CutZone:
-		s.cutZone(ctx, zone, e.lasts(), s.network.cut)
+		s.cutZone(ctx, zone, e.duration(), s.network.cut)
 	case LoseZone:
-		s.cutZone(ctx, zone, e.lasts(), s.network.lossy)
+		s.cutZone(ctx, zone, e.duration(), s.network.lossy)
 	case StoreDown:
 		s.storeDown(ctx, e)
 	case StoreForgets:
-		s.storeForgets(ctx, e.lasts())
+		s.storeForgets(ctx, e.duration())
 	case RestoreStore:
-		s.restoreStore(ctx, e.lasts())
+		s.restoreStore(ctx, e.duration())
 	case DrainZone:
-		s.drainZone(ctx, zone, e.lasts())
+		s.drainZone(ctx, zone, e.duration())
 	default:
 		s.applyToServers(ctx, e)
 	}
@@ -58,9 +58,9 @@
 	switch e.Kind {
 	case CrashServer:
 		old := s.takeServer(e.Target)
-		old.crash()
+		old.stop()
 		s.unregister(old)
-		bronzeretry.Pause(ctx, e.lasts())
+		bronzeretry.Pause(ctx, e.duration())
 		s.addServer(ctx, old.pool, old.zone, netip.AddrPort{})
 	case ReplaceServer:
 		s.replaceServer(ctx, e.Target)
@@ -71,15 +71,15 @@
 	case RemoveRoute:
 		s.removeRoute()
 	case Surge:
-		s.surge(ctx, e.lasts())
+		s.surge(ctx, e.duration())
 	}
 }
 
-// during calls change with 1 and, after d, with -1.
-func (s *soak) during(ctx context.Context, d time.Duration, change func(by int)) {
-	s.network.change(func() { change(1) })
+// changeFor calls change with 1 and, after d, with -1.
+func (s *soak) changeFor(ctx context.Context, d time.Duration, change func(by int)) {
+	s.network.update(func() { change(1) })
 	bronzeretry.Pause(ctx, d)
-	s.network.change(func() { change(-1) })
+	s.network.update(func() { change(-1) })
 }
 
 func (s *soak) killAll(ctx context.Context, d time.Duration) {
@@ -95,10 +95,10 @@
 	}
 }
 
-// roll restarts all nodes, one after the other, for as long as there are events.
-func (s *soak) roll(ctx context.Context, each time.Duration) {
+// rollingRestart restarts all nodes, one after the other, for as long as there are events.
+func (s *soak) rollingRestart(ctx context.Context, each time.Duration) {
 	for _, n := range s.nodes {
-		if time.Since(s.journal.begun) > s.plan.length()-quiet {
+		if time.Since(s.violations.start) > s.plan.length()-recoveryPeriod {
 			return
 		}
 		go n.restart(ctx)
@@ -107,10 +107,10 @@
 }
 
 func (s *soak) cutStore(ctx context.Context, n *node, e *Event) {
-	n.disturb(e.lasts(), false)
-	s.network.change(func() { s.network.store[n.name] = append(s.network.store[n.name], e.Mode) })
-	bronzeretry.Pause(ctx, e.lasts())
-	s.network.change(func() { s.network.store[n.name] = s.network.store[n.name][1:] })
+	n.disturb(e.duration(), false)
+	s.network.update(func() { s.network.storeFailures[n.name] = append(s.network.storeFailures[n.name], e.Mode) })
+	bronzeretry.Pause(ctx, e.duration())
+	s.network.update(func() { s.network.storeFailures[n.name] = s.network.storeFailures[n.name][1:] })
 	n.disturb(0, false)
 }
 
@@ -124,37 +124,37 @@
 		}
 		for _, server := range s.serversOf("") {
 			if server.zone == zone {
-				server.calm.disturb(time.Now().Add(d))
+				server.disturbance.extend(time.Now().Add(d))
 			}
 		}
 	}
 	disturb(d)
-	s.during(ctx, d, func(by int) { which[zone] += by })
+	s.changeFor(ctx, d, func(by int) { which[zone] += by })
 	disturb(0)
 }
 
 // storeDown has the store fail for everybody; registrations lapse meanwhile, and
 // are back when it is.
 func (s *soak) storeDown(ctx context.Context, e *Event) {
-	s.storeCalm.disturb(time.Now().Add(e.lasts()))
+	s.storeDisturbance.extend(time.Now().Add(e.duration()))
 	if e.Mode == Refused {
 		s.store.SetStatus(http.StatusServiceUnavailable)
 	}
-	s.network.change(func() { s.network.down = append(s.network.down, e.Mode) })
-	bronzeretry.Pause(ctx, e.lasts())
-	s.network.change(func() { s.network.down = s.network.down[1:] })
+	s.network.update(func() { s.network.storeOutages = append(s.network.storeOutages, e.Mode) })
+	bronzeretry.Pause(ctx, e.duration())
+	s.network.update(func() { s.network.storeOutages = s.network.storeOutages[1:] })
 	s.store.SetStatus(0)
-	s.storeCalm.disturb(time.Now())
+	s.storeDisturbance.extend(time.Now())
 }
 
 func (s *soak) storeForgets(ctx context.Context, d time.Duration) {
-	s.storeCalm.disturb(time.Now().Add(d))
+	s.storeDisturbance.extend(time.Now().Add(d))
 	s.store.SetEventsSuppressed(true)
 	s.addRoute()
 	bronzeretry.Pause(ctx, d)
 	s.store.Compact()
 	s.store.SetEventsSuppressed(false)
-	s.storeCalm.disturb(time.Now())
+	s.storeDisturbance.extend(time.Now())
 }
 
 // takeServer picks a server and takes it out of those that events are for.
@@ -202,53 +202,53 @@
 }
 
 const (
-	// restoreFor is how long the store is away before it comes back from a copy.
-	restoreFor = 300 * time.Millisecond
-	// writeAgainAfter is how long after that the operator writes again, and the servers
+	// restoreOutage is how long the store is away before it comes back from a copy.
+	restoreOutage = 300 * time.Millisecond
+	// rewriteDelay is how long after that the operator writes again, and the servers
 	// as long after the operator.
-	writeAgainAfter = 600 * time.Millisecond
+	rewriteDelay = 600 * time.Millisecond
 )
 
 // restoreStore has the store come back from a copy that is d old.
 func (s *soak) restoreStore(ctx context.Context, d time.Duration) {
 	copied := s.store.Backup()
 	bronzeretry.Pause(ctx, d)
-	s.storeCalm.disturb(time.Now().Add(restoreFor))
-	s.network.change(func() { s.network.down = append(s.network.down, Reset) })
-	bronzeretry.Pause(ctx, restoreFor)
+	s.storeDisturbance.extend(time.Now().Add(restoreOutage))
+	s.network.update(func() { s.network.storeOutages = append(s.network.storeOutages, Reset) })
+	bronzeretry.Pause(ctx, restoreOutage)
 	s.store.Restore(copied)
-	s.network.change(func() { s.network.down = s.network.down[1:] })
-	bronzeretry.Pause(ctx, writeAgainAfter)
-	s.events.Lock()
+	s.network.update(func() { s.network.storeOutages = s.network.storeOutages[1:] })
+	bronzeretry.Pause(ctx, rewriteDelay)
+	s.eventsMu.Lock()
 	s.putTable()
-	s.writeDrains()
-	s.events.Unlock()
-	bronzeretry.Pause(ctx, writeAgainAfter)
-	s.registerAgain()
-	s.storeCalm.disturb(time.Now())
+	s.putDrains()
+	s.eventsMu.Unlock()
+	bronzeretry.Pause(ctx, rewriteDelay)
+	s.reregisterAll()
+	s.storeDisturbance.extend(time.Now())
 }
 
 // drainZone has a zone take no new flows for d.
 func (s *soak) drainZone(ctx context.Context, zone string, d time.Duration) {
-	s.events.Lock()
-	free := s.drained.begin(zone)
-	s.writeDrains()
-	s.events.Unlock()
+	s.eventsMu.Lock()
+	free := s.zoneDrain.begin(zone)
+	s.putDrains()
+	s.eventsMu.Unlock()
 	if !free {
 		return
 	}
 	bronzeretry.Pause(ctx, d)
-	s.events.Lock()
-	defer s.events.Unlock()
-	s.drained.end()
-	s.writeDrains()
+	s.eventsMu.Lock()
+	defer s.eventsMu.Unlock()
+	s.zoneDrain.end()
+	s.putDrains()
 }
 
-// writeDrains has the store have the drain that there is; the caller holds events.
-func (s *soak) writeDrains() {
+// putDrains has the store have the drain that there is; the caller holds events.
+func (s *soak) putDrains() {
 	for i := range s.plan.Zones {
 		zone := zoneName(i)
-		if s.drained.since(zone).IsZero() {
+		if s.zoneDrain.since(zone).IsZero() {
 			s.store.UndrainZone(zone)
 			continue
 		}
@@ -258,50 +258,50 @@
 	}
 }
 
-// drain is the zone that is drained, if one is.
-type drain struct {
-	mu   sync.Mutex
-	zone string
-	at   time.Time
+// drainedZone is the zone that is drained, if one is.
+type drainedZone struct {
+	mu    sync.Mutex
+	zone  string
+	start time.Time
 }
 
 // begin drains a zone; free is false if one is drained already.
-func (d *drain) begin(zone string) (free bool) {
+func (d *drainedZone) begin(zone string) (free bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.zone != "" {
 		return false
 	}
-	d.zone, d.at = zone, time.Now()
+	d.zone, d.start = zone, time.Now()
 	return true
 }
 
-func (d *drain) end() {
+func (d *drainedZone) end() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.zone = ""
 }
 
 // since returns when the drain of a zone began, the zero time if it isn't drained.
-func (d *drain) since(zone string) (at time.Time) {
+func (d *drainedZone) since(zone string) (at time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.zone != zone {
 		return time.Time{}
 	}
-	return d.at
+	return d.start
 }
 
-// registerAgain has all servers that are there write what the store may have lost. Registrations
+// reregisterAll has all servers that are there write what the store may have lost. Registrations
 // of the others lapse.
-func (s *soak) registerAgain() {
+func (s *soak) reregisterAll() {
 	s.registry.mu.Lock()
 	servers := maps.Clone(s.registry.servers)
 	s.registry.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(servers)) {
 		if server := servers[name]; server != nil {
 			server.mu.Lock()
-			s.writeAgain(server)
+			s.reregister(server)
 			server.mu.Unlock()
 			continue
 		}
@@ -309,9 +309,9 @@
 	}
 }
 
-// writeAgain writes a server's registration unless it is over; the caller holds the server's
+// reregister writes a server's registration unless it is over; the caller holds the server's
 // lock.
-func (s *soak) writeAgain(server *server) {
+func (s *soak) reregister(server *server) {
 	s.registry.mu.Lock()
 	defer s.registry.mu.Unlock()
 	if s.registry.servers[server.name] == server {
@@ -326,8 +326,8 @@
 	old.drainedAt = time.Now()
 	s.register(old)
 	old.mu.Unlock()
-	bronzeretry.Pause(ctx, drainFor)
-	old.crash()
+	bronzeretry.Pause(ctx, drainTime)
+	old.stop()
 	s.unregister(old)
 }
 
@@ -335,8 +335,8 @@
 // other pool gets its address.
 func (s *soak) reuseAddress(ctx context.Context, e *Event) {
 	old := s.takeServer(e.Target)
-	old.crash()
-	bronzeretry.Pause(ctx, e.lasts())
+	old.stop()
+	bronzeretry.Pause(ctx, e.duration())
 	s.unregister(old)
 	address := old.registration().Address
 	_ = old.proxy.conn.Close()
@@ -349,38 +349,38 @@
 }
 
 func (s *soak) addRoute() {
-	s.events.Lock()
-	defer s.events.Unlock()
-	n := len(s.ledger.order)
+	s.eventsMu.Lock()
+	defer s.eventsMu.Unlock()
+	n := len(s.tracker.order)
 	r := &route{
 		service: netip.AddrPortFrom(netip.AddrFrom4([4]byte{198, 18, byte(n >> 8), byte(n)}), 443),
 		pool:    pools[n%len(pools)], idempotent: n%3 != 0,
 	}
-	s.ledger.add(r)
+	s.tracker.addRoute(r)
 	s.publish()
-	s.ledger.mu.Lock()
+	s.tracker.mu.Lock()
 	r.addedAt = time.Now()
-	s.ledger.mu.Unlock()
+	s.tracker.mu.Unlock()
 }
 
 // removeRoute withdraws a route, but for the first ones.
 func (s *soak) removeRoute() {
-	s.events.Lock()
-	defer s.events.Unlock()
-	routes := s.ledger.inForce()
-	if len(routes) <= firstRoutes {
+	s.eventsMu.Lock()
+	defer s.eventsMu.Unlock()
+	routes := s.tracker.activeRoutes()
+	if len(routes) <= initialRoutes {
 		return
 	}
-	r := routes[firstRoutes+rand.IntN(len(routes)-firstRoutes)]
-	s.ledger.remove(r.service, time.Now())
+	r := routes[initialRoutes+rand.IntN(len(routes)-initialRoutes)]
+	s.tracker.removeRoute(r.service, time.Now())
 	s.publish()
-	s.ledger.remove(r.service, time.Now())
+	s.tracker.removeRoute(r.service, time.Now())
 }
 
 // surge adds as many callers again for d.
 func (s *soak) surge(ctx context.Context, d time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, d)
 	defer cancel()
-	s.callers(ctx)
+	s.startCallers(ctx)
 	<-ctx.Done()
 }
--- a/bronzesoak/invariant.go
+++ b/bronzesoak/invariant.go
@@ -57,47 +57,47 @@
 	return fmt.Sprintf("%.3f s %s: %s", float64(b.AtMS)/1000, b.Promise, b.What)
 }
 
-// maxBroken bounds what is kept of broken promises.
-const maxBroken = 50
+// maxViolations bounds what is kept of broken promises.
+const maxViolations = 50
 
-// journal keeps what was broken.
-type journal struct {
-	mu     sync.Mutex
-	begun  time.Time
-	broken []Violation
-	total  int
+// violationLog keeps what was broken.
+type violationLog struct {
+	mu    sync.Mutex
+	start time.Time
+	list  []Violation
+	total int
 }
 
-func (j *journal) add(p Invariant, format string, args ...any) {
+func (j *violationLog) add(p Invariant, format string, args ...any) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.total++
-	if len(j.broken) < maxBroken {
-		j.broken = append(j.broken, Violation{Promise: p, AtMS: time.Since(j.begun).Milliseconds(), What: fmt.Sprintf(format, args...)})
+	if len(j.list) < maxViolations {
+		j.list = append(j.list, Violation{Promise: p, AtMS: time.Since(j.start).Milliseconds(), What: fmt.Sprintf(format, args...)})
 	}
 }
 
-// calm is since when something has been left alone.
-type calm struct {
+// disturbance is since when something has been left alone.
+type disturbance struct {
 	mu    sync.Mutex
-	since time.Time
+	until time.Time
 }
 
-// disturb notes that something is done to it until a time.
-func (c *calm) disturb(until time.Time) {
+// extend notes that something is done to it until a time.
+func (c *disturbance) extend(until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if until.After(c.since) {
-		c.since = until
+	if until.After(c.until) {
+		c.until = until
 	}
 }
 
-// settled is how long something must have been left alone for promises with a
+// settleTime is how long something must have been left alone for promises with a
 // bound in time to count.
-const settled = 4 * time.Second
+const settleTime = 4 * time.Second
 
-func (c *calm) settled() bool {
+func (c *disturbance) settled() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Since(c.since) >= settled
+	return time.Since(c.until) >= settleTime
 }
--- a/bronzesoak/network.go
+++ b/bronzesoak/network.go
@@ -17,52 +17,52 @@
 	// random returns a number in [0,1), by which packets are lost.
 	random func() float64
 
-	mu    sync.Mutex
-	cut   map[string]int           // zones that are cut off, by how many events
-	lossy map[string]int           // zones whose packets to others get lost
-	peers map[string]int           // nodes that are cut off from other nodes
-	store map[string][]FailureMode // how each node's connections to the store fail
-	down  []FailureMode            // how everybody's do
-	nodes map[netip.Addr]string
-	zones map[string]string // of the nodes
-	wake  chan struct{}     // closed when something changes
-	// silenced counts how often each node's connections to the store went
+	mu            sync.Mutex
+	cut           map[string]int           // zones that are cut off, by how many events
+	lossy         map[string]int           // zones whose packets to others get lost
+	isolated      map[string]int           // nodes that are cut off from other nodes
+	storeFailures map[string][]FailureMode // how each node's connections to the store fail
+	storeOutages  []FailureMode            // how everybody's do
+	nodes         map[netip.Addr]string
+	zones         map[string]string // of the nodes
+	changed       chan struct{}     // closed when something changes
+	// silences counts how often each node's connections to the store went
 	// silent. Those that were open then stay so for good.
-	silenced map[string]int
+	silences map[string]int
 }
 
 func newNetwork() *network {
 	return &network{
 		random: rand.Float64,
-		cut:    map[string]int{}, lossy: map[string]int{}, peers: map[string]int{}, store: map[string][]FailureMode{},
-		nodes: map[netip.Addr]string{}, zones: map[string]string{}, wake: make(chan struct{}), silenced: map[string]int{},
+		cut:    map[string]int{}, lossy: map[string]int{}, isolated: map[string]int{}, storeFailures: map[string][]FailureMode{},
+		nodes: map[netip.Addr]string{}, zones: map[string]string{}, changed: make(chan struct{}), silences: map[string]int{},
 	}
 }
 
-// change changes what reaches what.
-func (n *network) change(do func()) {
+// update changes what reaches what.
+func (n *network) update(do func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	do()
 	for node := range n.zones {
-		if n.mode(node) == Silent {
-			n.silenced[node]++
+		if n.failureModeLocked(node) == Silent {
+			n.silences[node]++
 		}
 	}
-	close(n.wake)
-	n.wake = make(chan struct{})
+	close(n.changed)
+	n.changed = make(chan struct{})
 }
 
-// lossShare is the part of packets that a lossy zone loses, strayLoss the part
+// lossyZoneLoss is the part of packets that a lossy zone loses, backgroundLoss the part
 // that any network does, which is no excuse for anybody.
 const (
-	lossShare = 0.03
-	strayLoss = 0.003
+	lossyZoneLoss  = 0.03
+	backgroundLoss = 0.003
 )
 
-// passes reports whether a packet gets from one zone to another.
-func (n *network) passes(from, to string) bool {
-	if n.random() < strayLoss {
+// delivers reports whether a packet gets from one zone to another.
+func (n *network) delivers(from, to string) bool {
+	if n.random() < backgroundLoss {
 		return false
 	}
 	if from == to {
@@ -73,16 +73,16 @@
 	if n.cut[from] > 0 || n.cut[to] > 0 {
 		return false
 	}
-	return n.lossy[from]+n.lossy[to] == 0 || n.random() >= lossShare
+	return n.lossy[from]+n.lossy[to] == 0 || n.random() >= lossyZoneLoss
 }
 
-// passesPeers reports whether a datagram of one node gets to another.
-func (n *network) passesPeers(from, to string) bool {
+// deliversToPeer reports whether a datagram of one node gets to another.
+func (n *network) deliversToPeer(from, to string) bool {
 	n.mu.Lock()
-	cut := n.peers[from] > 0 || n.peers[to] > 0
+	cut := n.isolated[from] > 0 || n.isolated[to] > 0
 	a, b := n.zones[from], n.zones[to]
 	n.mu.Unlock()
-	return !cut && n.passes(a, b)
+	return !cut && n.delivers(a, b)
 }
 
 // nodeAt returns the node with an address.
@@ -92,23 +92,23 @@
 	return n.nodes[a]
 }
 
-// modeOf returns how a node's connections to the store fail now, "" if they
+// failureMode returns how a node's connections to the store fail now, "" if they
 // don't, and how often they went silent.
-func (n *network) modeOf(node string) (mode FailureMode, silenced int, changed <-chan struct{}) {
+func (n *network) failureMode(node string) (mode FailureMode, silenced int, changed <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.mode(node), n.silenced[node], n.wake
+	return n.failureModeLocked(node), n.silences[node], n.changed
 }
 
-// mode does the same; the caller holds the lock.
-func (n *network) mode(node string) FailureMode {
+// failureModeLocked does the same; the caller holds the lock.
+func (n *network) failureModeLocked(node string) FailureMode {
 	switch {
 	case n.cut[n.zones[node]] > 0:
 		return Silent
-	case len(n.store[node]) > 0:
-		return n.store[node][len(n.store[node])-1]
-	case len(n.down) > 0:
-		return n.down[len(n.down)-1]
+	case len(n.storeFailures[node]) > 0:
+		return n.storeFailures[node][len(n.storeFailures[node])-1]
+	case len(n.storeOutages) > 0:
+		return n.storeOutages[len(n.storeOutages)-1]
 	default:
 		return ""
 	}
@@ -122,8 +122,8 @@
 	listener net.Listener
 }
 
-// slowBy is what a slow connection adds to each answer.
-const slowBy = 250 * time.Millisecond
+// slowDelay is what a slow connection adds to each answer.
+const slowDelay = 250 * time.Millisecond
 
 func (p *storeProxy) run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { _ = p.listener.Close() })
@@ -140,7 +140,7 @@
 // serve carries one connection until an end closes it.
 func (p *storeProxy) serve(ctx context.Context, conn *net.TCPConn) {
 	defer func() { _ = conn.Close() }()
-	_, born, _ := p.network.modeOf(p.node)
+	_, born, _ := p.network.failureMode(p.node)
 	var dialer net.Dialer
 	up, err := dialer.DialContext(ctx, "tcp", p.store)
 	if err != nil {
@@ -149,18 +149,18 @@
 	defer func() { _ = up.Close() }()
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close(); _ = up.Close() })
 	defer stop()
-	go p.watch(ctx, conn, up)
+	go p.resetOnFailure(ctx, conn, up)
 	go func() {
-		p.carry(ctx, up, conn, born, false)
+		p.forward(ctx, up, conn, born, false)
 		_ = up.Close()
 	}()
-	p.carry(ctx, conn, up, born, true)
+	p.forward(ctx, conn, up, born, true)
 }
 
-// watch resets the connection when the link's mode says so.
-func (p *storeProxy) watch(ctx context.Context, conn *net.TCPConn, up net.Conn) {
+// resetOnFailure resets the connection when the link's mode says so.
+func (p *storeProxy) resetOnFailure(ctx context.Context, conn *net.TCPConn, up net.Conn) {
 	for ctx.Err() == nil {
-		mode, _, changed := p.network.modeOf(p.node)
+		mode, _, changed := p.network.failureMode(p.node)
 		if mode == Reset {
 			_ = conn.SetLinger(0)
 			_ = conn.Close()
@@ -174,14 +174,14 @@
 	}
 }
 
-// carry copies from src to dst as far as the link's mode lets it. born is how
+// forward copies from src to dst as far as the link's mode lets it. born is how
 // often the link had gone silent when the connection was opened; answers says
 // that what is copied is the store's.
-func (p *storeProxy) carry(ctx context.Context, dst io.Writer, src io.Reader, born int, answers bool) {
+func (p *storeProxy) forward(ctx context.Context, dst io.Writer, src io.Reader, born int, answers bool) {
 	b := make([]byte, 32<<10)
 	for {
 		n, err := src.Read(b)
-		if n > 0 && p.pass(ctx, born, answers) {
+		if n > 0 && p.mayForward(ctx, born, answers) {
 			if _, err := dst.Write(b[:n]); err != nil {
 				return
 			}
@@ -192,16 +192,16 @@
 	}
 }
 
-// pass waits until what was read may be passed on. A silent link keeps it for
+// mayForward waits until what was read may be passed on. A silent link keeps it for
 // good: its connection stays open and carries nothing more.
-func (p *storeProxy) pass(ctx context.Context, born int, answers bool) bool {
-	mode, silenced, _ := p.network.modeOf(p.node)
+func (p *storeProxy) mayForward(ctx context.Context, born int, answers bool) bool {
+	mode, silenced, _ := p.network.failureMode(p.node)
 	switch {
 	case mode == Silent, silenced != born, mode == AnswersLost && answers:
 		<-ctx.Done()
 		return false
 	case mode == Slow && answers:
-		bronzeretry.Pause(ctx, slowBy)
+		bronzeretry.Pause(ctx, slowDelay)
 	}
 	return ctx.Err() == nil
 }
--- a/bronzesoak/network_test.go
+++ b/bronzesoak/network_test.go
@@ -18,22 +18,22 @@
 	draw := 1.0
 	n.random = func() float64 { return draw }
 	n.zones["node-0"], n.zones["node-1"], n.zones["node-2"] = "a", "b", "b"
-	require.True(t, n.passes("a", "b"))
-	n.change(func() { n.cut["a"]++ })
-	require.False(t, n.passes("a", "b"))
-	require.False(t, n.passes("b", "a"))
-	require.True(t, n.passes("a", "a"))
-	require.False(t, n.passesPeers("node-0", "node-1"))
-	require.True(t, n.passesPeers("node-1", "node-2"))
-	mode, _, _ := n.modeOf("node-0")
+	require.True(t, n.delivers("a", "b"))
+	n.update(func() { n.cut["a"]++ })
+	require.False(t, n.delivers("a", "b"))
+	require.False(t, n.delivers("b", "a"))
+	require.True(t, n.delivers("a", "a"))
+	require.False(t, n.deliversToPeer("node-0", "node-1"))
+	require.True(t, n.deliversToPeer("node-1", "node-2"))
+	mode, _, _ := n.failureMode("node-0")
 	require.Equal(t, Silent, mode)
-	n.change(func() { n.cut["a"]--; n.peers["node-2"]++; n.lossy["a"]++ })
-	require.False(t, n.passesPeers("node-1", "node-2"))
-	draw = lossShare / 2
-	require.False(t, n.passes("a", "b"))
-	require.True(t, n.passes("b", "b"))
+	n.update(func() { n.cut["a"]--; n.isolated["node-2"]++; n.lossy["a"]++ })
+	require.False(t, n.deliversToPeer("node-1", "node-2"))
+	draw = lossyZoneLoss / 2
+	require.False(t, n.delivers("a", "b"))
+	require.True(t, n.delivers("b", "b"))
 	draw = 0
-	require.False(t, n.passes("b", "b"), "any packet may be lost")
+	require.False(t, n.delivers("b", "b"), "any packet may be lost")
 }
 
 // link is a store behind a proxy.
@@ -61,7 +61,7 @@
 }
 
 func (l *link) set(modes ...FailureMode) {
-	l.network.change(func() { l.network.store["node-0"] = modes })
+	l.network.update(func() { l.network.storeFailures["node-0"] = modes })
 }
 
 func (l *link) dial(t *testing.T) net.Conn {
--- a/bronzesoak/node.go
+++ b/bronzesoak/node.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	// grace is how long nodes are given to leave, lateBy how much longer they
+	// leaveGrace is how long nodes are given to leave, lateBy how much longer they
 	// may take on a busy machine before that is a fault.
-	grace  = 4 * time.Second
-	lateBy = 2 * time.Second
-	// restartAfter is how long a process that ended takes to be started again.
-	restartAfter = 200 * time.Millisecond
+	leaveGrace     = 4 * time.Second
+	leaveTolerance = 2 * time.Second
+	// restartDelay is how long a process that ended takes to be started again.
+	restartDelay = 200 * time.Millisecond
 )
 
 // node is a process of the program under test, with its addresses.
@@ -33,20 +33,20 @@
 	zone string
 	data netip.AddrPort
 	cfg  bronzeedge.Config
-	// calm is since when nothing at all was done to it, unharmed since when
+	// disturbance is since when nothing at all was done to it, unharmed since when
 	// nothing but planned work.
-	calm     calm
-	unharmed calm
+	disturbance disturbance
+	faults      disturbance
 
 	mu     sync.Mutex
 	cmd    *exec.Cmd
 	exited chan struct{} // closed when cmd has
 	starts int
-	// leaveAt is when the process was told to leave and ran, the zero time if it
+	// leavingSince is when the process was told to leave and ran, the zero time if it
 	// wasn't told.
-	leaveAt time.Time
-	// ending says that the process is to end, so that its exit is no fault.
-	ending bool
+	leavingSince time.Time
+	// exitExpected says that the process is to end, so that its exit is no fault.
+	exitExpected bool
 }
 
 func (n *node) settingsPath() string { return filepath.Join(n.soak.dir, n.name+".json") }
@@ -86,7 +86,7 @@
 	}
 	n.cmd, n.exited = cmd, make(chan struct{})
 	n.starts++
-	n.leaveAt, n.ending = time.Time{}, false
+	n.leavingSince, n.exitExpected = time.Time{}, false
 	go n.wait(cmd, n.exited, log)
 	return nil
 }
@@ -96,8 +96,8 @@
 	err := cmd.Wait()
 	_ = log.Close()
 	n.mu.Lock()
-	if !n.ending {
-		n.soak.journal.add(Exited, "%s ended by itself: %v", n.name, err)
+	if !n.exitExpected {
+		n.soak.violations.add(Exited, "%s ended by itself: %v", n.name, err)
 	}
 	n.cmd = nil
 	n.mu.Unlock()
@@ -114,13 +114,13 @@
 	}
 	switch sig {
 	case syscall.SIGTERM:
-		n.leaveAt, n.ending = time.Now(), true
+		n.leavingSince, n.exitExpected = time.Now(), true
 	case syscall.SIGKILL:
-		n.ending = true
+		n.exitExpected = true
 	case syscall.SIGCONT:
 		// A process that was stopped when it was told to leave hears it only now.
-		if !n.leaveAt.IsZero() {
-			n.leaveAt = time.Now()
+		if !n.leavingSince.IsZero() {
+			n.leavingSince = time.Now()
 		}
 	}
 	if err := n.cmd.Process.Signal(sig); err != nil && !errors.Is(err, os.ErrProcessDone) {
@@ -129,8 +129,8 @@
 	return n.exited
 }
 
-// nodeStart returns which start of the node runs.
-func (n *node) nodeStart() nodeStart {
+// currentStart returns which start of the node runs.
+func (n *node) currentStart() nodeStart {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return nodeStart{n.name, n.starts}
@@ -140,24 +140,24 @@
 func (n *node) leavingFor() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.leaveAt.IsZero() {
+	if n.leavingSince.IsZero() {
 		return 0
 	}
-	return time.Since(n.leaveAt)
+	return time.Since(n.leavingSince)
 }
 
 // disturb notes that something is done to the node for d.
 func (n *node) disturb(d time.Duration, planned bool) {
 	until := time.Now().Add(d)
-	n.calm.disturb(until)
+	n.disturbance.extend(until)
 	if !planned {
-		n.unharmed.disturb(until)
+		n.faults.extend(until)
 	}
 }
 
 // kill kills the process and starts it again after d.
 func (n *node) kill(ctx context.Context, d time.Duration) {
-	n.disturb(d+restartAfter, false)
+	n.disturb(d+restartDelay, false)
 	exited := n.signal(syscall.SIGKILL)
 	if exited != nil {
 		<-exited
@@ -171,18 +171,18 @@
 
 // leave has the process end by itself.
 func (n *node) leave() {
-	n.disturb(grace, true)
+	n.disturb(leaveGrace, true)
 	exited := n.signal(syscall.SIGTERM)
 	if exited == nil {
 		return
 	}
-	timer := time.NewTimer(grace + lateBy)
+	timer := time.NewTimer(leaveGrace + leaveTolerance)
 	defer timer.Stop()
 	select {
 	case <-exited:
 	case <-timer.C:
-		if n.unharmed.settled() {
-			n.soak.journal.add(LeftLate, "%s has not left %v after it was told to", n.name, grace+lateBy)
+		if n.faults.settled() {
+			n.soak.violations.add(LeftLate, "%s has not left %v after it was told to", n.name, leaveGrace+leaveTolerance)
 		}
 		n.signal(syscall.SIGCONT)
 		n.signal(syscall.SIGKILL)
@@ -193,7 +193,7 @@
 // restart has the process leave and starts it again.
 func (n *node) restart(ctx context.Context) {
 	n.leave()
-	bronzeretry.Pause(ctx, restartAfter)
+	bronzeretry.Pause(ctx, restartDelay)
 	n.disturb(0, true)
 	if err := n.start(ctx); err != nil {
 		n.soak.fail(err)
--- a/bronzesoak/plan.go
+++ b/bronzesoak/plan.go
@@ -58,14 +58,14 @@
 	Surge Kind = "Surge"
 )
 
-// drawn are the kinds that a plan is drawn from first; RestoreStore and DrainZone come on
+// randomKinds are the kinds that a plan is randomKinds from first; RestoreStore and DrainZone come on
 // top, so that the seeds of before have their events still.
-var drawn = []Kind{
+var randomKinds = []Kind{
 	KillNode, KillAll, LeaveNode, RollNodes, PauseNode, ReloadNode, CutStore, CutPeers, CutZone, LoseZone, StoreDown,
 	StoreForgets, CrashServer, ReplaceServer, ReuseAddress, AddRoute, RemoveRoute, Surge,
 }
 
-var kinds = append(slices.Clone(drawn), RestoreStore, DrainZone)
+var allKinds = append(slices.Clone(randomKinds), RestoreStore, DrainZone)
 
 // FailureMode is how a connection to the store fails.
 type FailureMode string
@@ -84,7 +84,7 @@
 	Refused FailureMode = "Refused"
 )
 
-var modes = []FailureMode{Silent, Reset, Slow, AnswersLost, Refused}
+var allModes = []FailureMode{Silent, Reset, Slow, AnswersLost, Refused}
 
 // Event is something that is done to the deployment.
 type Event struct {
@@ -98,8 +98,8 @@
 	Mode   FailureMode `json:",omitempty"`
 }
 
-func (e *Event) at() time.Duration    { return time.Duration(e.AtMS) * time.Millisecond }
-func (e *Event) lasts() time.Duration { return time.Duration(e.ForMS) * time.Millisecond }
+func (e *Event) offset() time.Duration   { return time.Duration(e.AtMS) * time.Millisecond }
+func (e *Event) duration() time.Duration { return time.Duration(e.ForMS) * time.Millisecond }
 
 // Plan is a deployment and what is done to it.
 type Plan struct {
@@ -118,9 +118,9 @@
 	Events []Event
 }
 
-// quiet is how long the end of a plan is left alone, so that what recovers can
+// recoveryPeriod is how long the end of a plan is left alone, so that what recovers can
 // be seen to.
-const quiet = 6 * time.Second
+const recoveryPeriod = 6 * time.Second
 
 // NewPlan draws a plan from a seed: some events by themselves, a series of one
 // kind, and several at the same moment.
@@ -130,22 +130,22 @@
 		Seed: seed, Seconds: length.Seconds(), Zones: 2 + r.IntN(2), NodesPerZone: 1 + r.IntN(3), ServersPerZone: 2 + r.IntN(3),
 		Callers: 40, PauseMS: 250, WorkMS: 10 + r.IntN(20),
 	}
-	span := max(int((length - quiet - time.Second).Milliseconds()), 1)
+	span := max(int((length - recoveryPeriod - time.Second).Milliseconds()), 1)
 	draw := func(kind Kind) Event {
 		return Event{
-			AtMS: 500 + r.IntN(span), ForMS: 300 + r.IntN(2500), Kind: kind, Target: r.IntN(64), Mode: modes[r.IntN(len(modes))],
+			AtMS: 500 + r.IntN(span), ForMS: 300 + r.IntN(2500), Kind: kind, Target: r.IntN(64), Mode: allModes[r.IntN(len(allModes))],
 		}
 	}
 	for range 3 + r.IntN(6) {
-		p.Events = append(p.Events, draw(drawn[r.IntN(len(drawn))]))
+		p.Events = append(p.Events, draw(randomKinds[r.IntN(len(randomKinds))]))
 	}
-	series := drawn[r.IntN(len(drawn))]
+	series := randomKinds[r.IntN(len(randomKinds))]
 	for range r.IntN(4) {
 		p.Events = append(p.Events, draw(series))
 	}
 	at := 500 + r.IntN(span)
 	for range r.IntN(4) {
-		e := draw(drawn[r.IntN(len(drawn))])
+		e := draw(randomKinds[r.IntN(len(randomKinds))])
 		e.AtMS = at
 		p.Events = append(p.Events, e)
 	}
@@ -155,7 +155,7 @@
 	if r.IntN(2) == 0 {
 		e := draw(DrainZone)
 		e.AtMS = 500 + r.IntN(span)/2
-		e.ForMS = 2*int(settled.Milliseconds()) - r.IntN(2000)
+		e.ForMS = 2*int(settleTime.Milliseconds()) - r.IntN(2000)
 		p.Events = append(p.Events, e)
 	}
 	p.sort()
@@ -199,11 +199,11 @@
 		return errors.Errorf("WorkMS: %d is below 1", p.WorkMS)
 	}
 	for i := range p.Events {
-		if !slices.Contains(kinds, p.Events[i].Kind) {
-			return errors.Errorf("Events[%d].Kind: %q is none of %v", i, p.Events[i].Kind, kinds)
+		if !slices.Contains(allKinds, p.Events[i].Kind) {
+			return errors.Errorf("Events[%d].Kind: %q is none of %v", i, p.Events[i].Kind, allKinds)
 		}
-		if m := p.Events[i].Mode; m != "" && !slices.Contains(modes, m) {
-			return errors.Errorf("Events[%d].Mode: %q is none of %v", i, m, modes)
+		if m := p.Events[i].Mode; m != "" && !slices.Contains(allModes, m) {
+			return errors.Errorf("Events[%d].Mode: %q is none of %v", i, m, allModes)
 		}
 	}
 	return nil
--- a/bronzesoak/plan_test.go
+++ b/bronzesoak/plan_test.go
@@ -19,10 +19,10 @@
 		require.NoError(t, p.Check())
 		for i := range p.Events {
 			seen[p.Events[i].Kind] = true
-			require.LessOrEqual(t, p.Events[i].at(), p.length()-quiet)
+			require.LessOrEqual(t, p.Events[i].offset(), p.length()-recoveryPeriod)
 		}
 	}
-	require.Len(t, seen, len(kinds))
+	require.Len(t, seen, len(allKinds))
 }
 
 func TestPlanIsReadFromAFile(t *testing.T) {
--- a/bronzesoak/report.go
+++ b/bronzesoak/report.go
@@ -58,7 +58,7 @@
 		failed = append(failed, plotter.XY{X: float64(i), Y: float64(r.Seconds[i].Failed + r.Seconds[i].Rejected)})
 	}
 	for i := range r.Plan.Events {
-		events = append(events, plotter.XY{X: r.Plan.Events[i].at().Seconds()})
+		events = append(events, plotter.XY{X: r.Plan.Events[i].offset().Seconds()})
 	}
 	if err = plotutil.AddLinePoints(p, "served", served, "failed or rejected", failed); err != nil {
 		return err
--- a/bronzesoak/router.go
+++ b/bronzesoak/router.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	probeEvery = 500 * time.Millisecond
-	// missesOut is how many answers in a row a node misses until it is left out.
-	missesOut = 2
-	// leavingBy is how long after it was told to leave a node must not say any
+	probeInterval = 500 * time.Millisecond
+	// maxMisses is how many answers in a row a node misses until it is left out.
+	maxMisses = 2
+	// unreadyDeadline is how long after it was told to leave a node must not say any
 	// more that it is ready.
-	leavingBy = time.Second
+	unreadyDeadline = time.Second
 )
 
 // router is a stand-in of the platform's routers: it sends each flow to a node
@@ -31,18 +31,18 @@
 	misses map[*node]int
 }
 
-// run asks a node whether it is ready until ctx is done.
-func (r *router) run(ctx context.Context, n *node) {
-	client := &http.Client{Timeout: probeEvery, Transport: &http.Transport{DisableKeepAlives: true}}
-	ticker := time.NewTicker(probeEvery)
+// probe asks a node whether it is ready until ctx is done.
+func (r *router) probe(ctx context.Context, n *node) {
+	client := &http.Client{Timeout: probeInterval, Transport: &http.Transport{DisableKeepAlives: true}}
+	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
 	for {
-		begun, leaving := n.nodeStart(), n.leavingFor()
-		status := ask(ctx, client, "http://"+n.cfg.ReadyAddress.String()+standin.ReadyPath)
-		r.note(n, status == http.StatusOK)
+		begun, leaving := n.currentStart(), n.leavingFor()
+		status := getStatus(ctx, client, "http://"+n.cfg.ReadyAddress.String()+standin.ReadyPath)
+		r.recordProbe(n, status == http.StatusOK)
 		leaving = min(leaving, n.leavingFor())
-		if status == http.StatusOK && leaving >= leavingBy && n.nodeStart() == begun {
-			r.soak.journal.add(ReadyAgain, "%s is ready though it leaves, for %v", n.name, leaving)
+		if status == http.StatusOK && leaving >= unreadyDeadline && n.currentStart() == begun {
+			r.soak.violations.add(ReadyAgain, "%s is ready though it leaves, for %v", n.name, leaving)
 		}
 		select {
 		case <-ctx.Done():
@@ -52,8 +52,8 @@
 	}
 }
 
-// ask returns the status of an answer, 0 if there is none.
-func ask(ctx context.Context, client *http.Client, url string) int {
+// getStatus returns the status of an answer, 0 if there is none.
+func getStatus(ctx context.Context, client *http.Client, url string) int {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, http.NoBody)
 	if err != nil {
 		return 0
@@ -69,7 +69,7 @@
 	return res.StatusCode
 }
 
-func (r *router) note(n *node, ready bool) {
+func (r *router) recordProbe(n *node, ready bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if ready {
@@ -83,7 +83,7 @@
 func (r *router) ready(n *node) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.misses[n] < missesOut
+	return r.misses[n] < maxMisses
 }
 
 // pick returns the node that a flow's packets go to now.
--- a/bronzesoak/run.go
+++ b/bronzesoak/run.go
@@ -19,17 +19,17 @@
 )
 
 const (
-	// startFor is how long nodes have before callers come.
-	startFor = time.Second
-	// hostsPerZone is on how many addresses a zone's callers are.
-	hostsPerZone = 3
-	// firstRoutes is how many routes there are at the start; they stay.
-	firstRoutes = 4
-	// endFrom and endTo bound the requests whose share must be served in the
+	// startupTime is how long nodes have before callers come.
+	startupTime = time.Second
+	// callerHostsPerZone is on how many addresses a zone's callers are.
+	callerHostsPerZone = 3
+	// initialRoutes is how many routes there are at the start; they stay.
+	initialRoutes = 4
+	// finalFrom and endTo bound the requests whose share must be served in the
 	// end, counted back from when callers stop.
-	endFrom  = 4
-	endTo    = 1
-	endShare = 0.9
+	finalFrom      = 4
+	finalTo        = 1
+	minFinalServed = 0.9
 )
 
 // ports are the ports of all nodes: the platform has the same on all VMs.
@@ -60,18 +60,18 @@
 		return result, err
 	}
 	s := &soak{
-		plan: plan, program: opts.Program, dir: opts.Dir, network: newNetwork(), store: &standin.Store{}, ledger: newLedger(),
+		plan: plan, program: opts.Program, dir: opts.Dir, network: newNetwork(), store: &standin.Store{}, tracker: newTracker(),
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if err = s.build(ctx); err != nil {
 		return result, err
 	}
-	defer s.stop()
+	defer s.stopNodes()
 	if err = s.startAll(ctx); err != nil {
 		return result, err
 	}
-	s.play(ctx)
+	s.execute(ctx)
 	return s.result(), s.failure
 }
 
@@ -87,7 +87,7 @@
 	server := &http.Server{Handler: s.store, ReadHeaderTimeout: time.Second}
 	go func() { _ = server.Serve(listener) }()
 	context.AfterFunc(ctx, func() { _ = server.Close() })
-	for range firstRoutes {
+	for range initialRoutes {
 		s.addRoute()
 	}
 	for i := range s.plan.Zones {
@@ -96,8 +96,8 @@
 				return err
 			}
 		}
-		for j := range hostsPerZone {
-			if err = s.addHost(ctx, i*hostsPerZone+j, zoneName(i)); err != nil {
+		for j := range callerHostsPerZone {
+			if err = s.addCallerHost(ctx, i*callerHostsPerZone+j, zoneName(i)); err != nil {
 				return err
 			}
 		}
@@ -115,14 +115,14 @@
 
 // address returns an address of this run: of a kind of things, by its index.
 func (s *soak) address(kind byte, i int, port uint16) netip.AddrPort {
-	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, s.net, kind, byte(i + 1)}), port)
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, s.subnet, kind, byte(i + 1)}), port)
 }
 
 // choosePorts picks a net of loopback addresses that nobody uses, and ports that
 // are free there.
 func (s *soak) choosePorts() (err error) {
 	for range 20 {
-		s.net = byte(10 + rand.IntN(240))
+		s.subnet = byte(10 + rand.IntN(240))
 		var udp [2]*net.UDPConn
 		var tcp [2]net.Listener
 		for i := range udp {
@@ -164,7 +164,7 @@
 		Name: name, Region: "region", AvailabilityZone: zone, Regions: map[string]string{},
 		DataAddress: n.data, ReadyAddress: s.address(1, i, s.ports.ready), ControlAddress: s.address(1, i, s.ports.control),
 		PeerAddress: s.address(1, i, s.ports.peer), PeerPublicAddress: s.address(4, i, s.ports.peer),
-		Store: proxy.Addr().String(), GraceSeconds: grace.Seconds(), QuietSeconds: 0.7,
+		Store: proxy.Addr().String(), GraceSeconds: leaveGrace.Seconds(), QuietSeconds: 0.7,
 	}
 	for z := range s.plan.Zones {
 		n.cfg.Regions[zoneName(z)] = "region"
@@ -172,14 +172,14 @@
 	for seed := range min(3, s.plan.Zones*s.plan.NodesPerZone) {
 		n.cfg.Seeds = append(n.cfg.Seeds, s.address(4, seed, s.ports.control))
 	}
-	s.network.change(func() {
+	s.network.update(func() {
 		s.network.nodes[n.data.Addr()] = name
 		s.network.zones[name] = zone
 	})
 	s.nodes = append(s.nodes, n)
 	go (&storeProxy{network: s.network, node: name, store: store, listener: proxy}).run(ctx)
 	go (&datagramProxy{conn: public, network: s.network, deliver: func(from string, b []byte) {
-		if s.network.passesPeers(from, name) {
+		if s.network.deliversToPeer(from, name) {
 			// Datagrams may be lost.
 			_, _ = public.WriteToUDPAddrPort(b, n.cfg.PeerAddress)
 		}
@@ -187,14 +187,14 @@
 	return nil
 }
 
-func (s *soak) addHost(ctx context.Context, i int, zone string) (err error) {
+func (s *soak) addCallerHost(ctx context.Context, i int, zone string) (err error) {
 	a := s.address(3, i, s.ports.data)
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(a))
 	if err != nil {
 		return err
 	}
-	h := &host{soak: s, zone: zone, addr: a.Addr(), conn: conn, ports: map[uint16]*callerFlow{}}
-	s.hosts = append(s.hosts, h)
+	h := &callerHost{soak: s, zone: zone, addr: a.Addr(), conn: conn, flows: map[uint16]*callerFlow{}}
+	s.callerHosts = append(s.callerHosts, h)
 	go h.run(ctx)
 	return nil
 }
@@ -202,8 +202,8 @@
 // addServer starts a server and registers it, at an address or any.
 func (s *soak) addServer(ctx context.Context, pool, zone string, address netip.AddrPort) {
 	s.mu.Lock()
-	i := s.serverN
-	s.serverN++
+	i := s.serverCount
+	s.serverCount++
 	s.mu.Unlock()
 	if !address.IsValid() {
 		address = s.address(2, i%250, 0)
@@ -214,7 +214,7 @@
 		return
 	}
 	server := &server{soak: s, pool: pool, zone: zone, conn: conn, flows: map[flowKey]*serverFlow{}}
-	server.name, server.number = serverName(i)
+	server.name, server.incarnation = serverName(i)
 	server.proxy = &datagramProxy{conn: conn, network: s.network, deliver: server.receive}
 	go server.proxy.run(ctx)
 	s.register(server)
@@ -230,25 +230,25 @@
 		if err = n.start(ctx); err != nil {
 			return err
 		}
-		go s.router.run(ctx, n)
+		go s.router.probe(ctx, n)
 	}
-	s.storeCalm.disturb(time.Now())
-	bronzeretry.Pause(ctx, startFor)
+	s.storeDisturbance.extend(time.Now())
+	bronzeretry.Pause(ctx, startupTime)
 	return nil
 }
 
-// play has callers come and does what the plan says.
-func (s *soak) play(ctx context.Context) {
-	s.journal.begun, s.counts.begun = time.Now(), time.Now()
+// execute has callers come and does what the plan says.
+func (s *soak) execute(ctx context.Context) {
+	s.violations.start, s.counts.start = time.Now(), time.Now()
 	ctx, cancel := context.WithTimeout(ctx, s.plan.length())
 	defer cancel()
-	s.callers(ctx)
-	go s.probe(ctx, s.hosts[0])
-	go s.watchMachine(ctx)
+	s.startCallers(ctx)
+	go s.probe(ctx, s.callerHosts[0])
+	go s.detectStalls(ctx)
 	var over sync.WaitGroup
 	for i := range s.plan.Events {
 		e := &s.plan.Events[i]
-		bronzeretry.Pause(ctx, e.at()-time.Since(s.journal.begun))
+		bronzeretry.Pause(ctx, e.offset()-time.Since(s.violations.start))
 		if ctx.Err() != nil {
 			break
 		}
@@ -259,19 +259,19 @@
 }
 
 // A machine that is too busy holds everything up, which is no fault of nodes. It
-// counts as held up where a timer of stallTick is late by stallLate.
+// counts as held up where a timer of stallTick is late by stallThreshold.
 const (
-	stallTick = 20 * time.Millisecond
-	stallLate = 100 * time.Millisecond
+	stallTick      = 20 * time.Millisecond
+	stallThreshold = 100 * time.Millisecond
 )
 
-// watchMachine notes when the machine holds this process up, until ctx is done.
+// detectStalls notes when the machine holds this process up, until ctx is done.
 // All that is under test counts as disturbed then, and the result says how often.
-func (s *soak) watchMachine(ctx context.Context) {
+func (s *soak) detectStalls(ctx context.Context) {
 	for ctx.Err() == nil {
 		begun := time.Now()
 		bronzeretry.Pause(ctx, stallTick)
-		if late := time.Since(begun) - stallTick; late < stallLate {
+		if late := time.Since(begun) - stallTick; late < stallThreshold {
 			continue
 		}
 		s.stalls.Add(1)
@@ -279,32 +279,32 @@
 			n.disturb(0, false)
 		}
 		for _, server := range s.serversOf("") {
-			server.calm.disturb(time.Now())
+			server.disturbance.extend(time.Now())
 		}
-		s.storeCalm.disturb(time.Now())
+		s.storeDisturbance.extend(time.Now())
 	}
 }
 
-// callers has callers make requests until ctx is done.
-func (s *soak) callers(ctx context.Context) {
+// startCallers has startCallers make requests until ctx is done.
+func (s *soak) startCallers(ctx context.Context) {
 	pause := time.Duration(s.plan.PauseMS) * time.Millisecond
 	for i := range s.plan.Callers {
-		h := s.hosts[i%len(s.hosts)]
-		go h.call(ctx, s.pickRoute, pause)
+		h := s.callerHosts[i%len(s.callerHosts)]
+		go h.makeRequests(ctx, s.randomRoute, pause)
 	}
 }
 
-// pickRoute returns one of the routes in force.
-func (s *soak) pickRoute() (r route, ok bool) {
-	routes := s.ledger.inForce()
+// randomRoute returns one of the routes in force.
+func (s *soak) randomRoute() (r route, ok bool) {
+	routes := s.tracker.activeRoutes()
 	if len(routes) == 0 {
 		return r, false
 	}
 	return routes[rand.IntN(len(routes))], true
 }
 
-// stop ends all nodes, and waits for them.
-func (s *soak) stop() {
+// stopNodes ends all nodes, and waits for them.
+func (s *soak) stopNodes() {
 	var over sync.WaitGroup
 	for _, n := range s.nodes {
 		over.Go(func() {
@@ -321,12 +321,12 @@
 	all := sum(r.Seconds)
 	r.Served, r.Failed, r.Rejected = all.Served, all.Failed, all.Rejected
 	last := int(s.plan.Seconds)
-	end := sum(r.Seconds[min(max(last-endFrom, 0), len(r.Seconds)):min(max(last-endTo, 0), len(r.Seconds))])
-	if r.Stalls == 0 && float64(end.Served) < endShare*float64(max(end.total(), 1)) {
-		s.journal.add(Unserved, "%d of %d requests", end.Served, end.total())
+	end := sum(r.Seconds[min(max(last-finalFrom, 0), len(r.Seconds)):min(max(last-finalTo, 0), len(r.Seconds))])
+	if r.Stalls == 0 && float64(end.Served) < minFinalServed*float64(max(end.total(), 1)) {
+		s.violations.add(Unserved, "%d of %d requests", end.Served, end.total())
 	}
-	s.journal.mu.Lock()
-	defer s.journal.mu.Unlock()
-	r.Broken, r.BrokenTotal = s.journal.broken, s.journal.total
+	s.violations.mu.Lock()
+	defer s.violations.mu.Unlock()
+	r.Broken, r.BrokenTotal = s.violations.list, s.violations.total
 	return r
 }
--- a/bronzesoak/server.go
+++ b/bronzesoak/server.go
@@ -15,8 +15,8 @@
 const (
 	serverSlots = 3
 	serverQueue = 8
-	// drainFor is how long a server goes on after it said that it drains.
-	drainFor = 6 * time.Second
+	// drainTime is how long a server goes on after it said that it drains.
+	drainTime = 6 * time.Second
 	// requestSize is the length of a request: its number, and whether it may be
 	// repeated.
 	requestSize = 9
@@ -34,148 +34,148 @@
 	name string
 	pool string
 	zone string
-	// number is what packets to it carry, conn where it answers from, proxy the
+	// incarnation is what packets to it carry, conn where it answers from, proxy the
 	// address that is registered.
-	number uint64
-	conn   *net.UDPConn
-	proxy  *datagramProxy
-	calm   calm
+	incarnation uint64
+	conn        *net.UDPConn
+	proxy       *datagramProxy
+	disturbance disturbance
 
 	mu    sync.Mutex
 	flows map[flowKey]*serverFlow
 	busy  int
 	// drainedAt is when the store took in that it drains.
 	drainedAt time.Time
-	gone      bool
+	stopped   bool
 }
 
 type serverFlow struct {
-	sequence uint32 // of the server's next byte
-	next     uint32 // of the caller's next byte
-	token    uint32
-	open     bool
-	answer   []byte // the last one, for repeated requests
+	sequence     uint32 // of the server's next byte
+	acknowledged uint32 // of the caller's next byte
+	token        uint32
+	open         bool
+	answer       []byte // the last one, for repeated requests
 }
 
 // receive takes a datagram that a node sent.
 func (s *server) receive(from string, b []byte) {
 	n := s.soak.node(from)
-	if n == nil || !s.soak.network.passes(n.zone, s.zone) {
+	if n == nil || !s.soak.network.delivers(n.zone, s.zone) {
 		return
 	}
 	number, p, err := standin.ParseForwarded(b)
 	if err != nil || !p.ChecksumValid {
-		s.soak.journal.add(Altered, "server %s got %d bytes from %s: %v", s.name, len(b), from, err)
+		s.soak.violations.add(Altered, "server %s got %d bytes from %s: %v", s.name, len(b), from, err)
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.gone || number != s.number {
+	if s.stopped || number != s.incarnation {
 		return
 	}
-	s.take(n, &p)
+	s.handle(n, &p)
 }
 
-// take handles a packet that is for this server; the caller holds the lock.
-func (s *server) take(n *node, p *standin.Packet) {
+// handle handles a packet that is for this server; the caller holds the lock.
+func (s *server) handle(n *node, p *standin.Packet) {
 	key := flowKey{p.Source, p.Destination}
-	r, ok := s.soak.ledger.route(p.Destination)
+	r, ok := s.soak.tracker.route(p.Destination)
 	if !ok || r.pool != s.pool {
-		s.soak.journal.add(Misrouted, "server %s of pool %s got a packet for %s from %s", s.name, s.pool, p.Destination, n.name)
+		s.soak.violations.add(Misrouted, "server %s of pool %s got a packet for %s from %s", s.name, s.pool, p.Destination, n.name)
 		return
 	}
-	if own := s.soak.ledger.packetAt(key, s); own != nil && own.calm.settled() && n.calm.settled() {
-		s.soak.journal.add(Strayed, "flow %v of server %s: its packets go to %s by %s", key, own.name, s.name, n.name)
+	if own := s.soak.tracker.recordPacket(key, s); own != nil && own.disturbance.settled() && n.disturbance.settled() {
+		s.soak.violations.add(Strayed, "flow %v of server %s: its packets go to %s by %s", key, own.name, s.name, n.name)
 	}
 	f := s.flows[key]
 	switch {
 	case p.Accept:
 		return
 	case p.Open:
-		s.accept(n, key, f, p, &r)
+		s.handleOpen(n, key, f, p, &r)
 	case f == nil:
 		s.send(&standin.Packet{Source: p.Destination, Destination: p.Source, Reset: true, Sequence: p.Acknowledged})
 	default:
-		s.data(key, f, p, &r)
+		s.handleData(key, f, p, &r)
 	}
 }
 
-// accept answers an opening.
-func (s *server) accept(n *node, key flowKey, f *serverFlow, p *standin.Packet, r *route) {
-	s.checkOpening(n, r)
-	s.soak.ledger.use(n.nodeStart(), p.Destination)
+// handleOpen answers an opening.
+func (s *server) handleOpen(n *node, key flowKey, f *serverFlow, p *standin.Packet, r *route) {
+	s.checkNewFlow(n, r)
+	s.soak.tracker.recordUse(n.currentStart(), p.Destination)
 	if f == nil {
-		f = &serverFlow{sequence: rand.Uint32(), next: p.Sequence + 1}
+		f = &serverFlow{sequence: rand.Uint32(), acknowledged: p.Sequence + 1}
 		s.flows[key] = f
 	}
 	f.token = p.Token
 	s.send(&standin.Packet{
 		Source: p.Destination, Destination: p.Source, Open: true, Accept: true,
-		Token: p.Token, Sequence: f.sequence, Acknowledged: f.next,
+		Token: p.Token, Sequence: f.sequence, Acknowledged: f.acknowledged,
 	})
 }
 
-// published is how long after a change a node may go by what was before, and
-// copies by how much later the last copy of an opening may come.
+// propagationTime is how long after a change a node may go by what was before, and
+// openRetransmitTime by how much later the last copy of an opening may come.
 const (
-	published = 3 * time.Second
-	copies    = 700 * time.Millisecond
+	propagationTime    = 3 * time.Second
+	openRetransmitTime = 700 * time.Millisecond
 )
 
-// checkOpening checks that this server may have a new flow.
-func (s *server) checkOpening(n *node, r *route) {
-	if !n.calm.settled() || !s.soak.storeCalm.settled() {
+// checkNewFlow checks that this server may have a new flow.
+func (s *server) checkNewFlow(n *node, r *route) {
+	if !n.disturbance.settled() || !s.soak.storeDisturbance.settled() {
 		return
 	}
-	if !s.drainedAt.IsZero() && time.Since(s.drainedAt) > published+copies {
-		s.soak.journal.add(NewOnDraining, "server %s, draining for %v, got a new flow by %s", s.name, time.Since(s.drainedAt), n.name)
+	if !s.drainedAt.IsZero() && time.Since(s.drainedAt) > propagationTime+openRetransmitTime {
+		s.soak.violations.add(NewOnDraining, "server %s, draining for %v, got a new flow by %s", s.name, time.Since(s.drainedAt), n.name)
 	}
-	if at := s.soak.drained.since(s.zone); !at.IsZero() && time.Since(at) > published+copies {
-		s.soak.journal.add(NewInDrainedZone, "server %s got a new flow by %s, its zone %s drained for %v", s.name, n.name, s.zone, time.Since(at))
+	if at := s.soak.zoneDrain.since(s.zone); !at.IsZero() && time.Since(at) > propagationTime+openRetransmitTime {
+		s.soak.violations.add(NewInDrainedZone, "server %s got a new flow by %s, its zone %s drained for %v", s.name, n.name, s.zone, time.Since(at))
 	}
-	if !r.inForce() && time.Since(r.removedAt) > published+copies {
-		s.soak.journal.add(OldTable, "%s forwarded to %s, withdrawn for %v", n.name, r.service, time.Since(r.removedAt))
+	if !r.active() && time.Since(r.removedAt) > propagationTime+openRetransmitTime {
+		s.soak.violations.add(OldTable, "%s forwarded to %s, withdrawn for %v", n.name, r.service, time.Since(r.removedAt))
 	}
 }
 
-// data handles a packet of a flow that this server holds.
-func (s *server) data(key flowKey, f *serverFlow, p *standin.Packet, r *route) {
+// handleData handles a packet of a flow that this server holds.
+func (s *server) handleData(key flowKey, f *serverFlow, p *standin.Packet, r *route) {
 	if !f.open {
 		if p.Acknowledged != f.sequence+1 {
 			return // the caller goes on with another server's acceptance
 		}
 		f.open = true
 		f.sequence++
-		s.soak.ledger.open(key, s)
+		s.soak.tracker.recordOpen(key, s)
 	}
 	f.token = p.Token
 	if p.Final || p.Reset {
-		s.soak.ledger.end(key, s)
+		s.soak.tracker.recordClose(key, s)
 		delete(s.flows, key)
 		return
 	}
 	switch {
 	case len(p.Payload) < requestSize:
-	case p.Sequence != f.next:
+	case p.Sequence != f.acknowledged:
 		if f.answer != nil {
 			s.sendBytes(p.Source, f.answer)
 		}
 	default:
-		f.next += uint32(len(p.Payload))
+		f.acknowledged += uint32(len(p.Payload))
 		f.answer = nil
-		s.request(key, f, p, r)
+		s.handleRequest(key, f, p, r)
 	}
 }
 
-// request runs a request, or says that there is no room.
-func (s *server) request(key flowKey, f *serverFlow, p *standin.Packet, r *route) {
+// handleRequest runs a handleRequest, or says that there is no room.
+func (s *server) handleRequest(key flowKey, f *serverFlow, p *standin.Packet, r *route) {
 	id := binary.LittleEndian.Uint64(p.Payload)
 	if s.busy >= serverSlots+serverQueue {
 		s.answer(key, f, id, answerFull)
 		return
 	}
-	if times := s.soak.ledger.run(id); times > 1 && !r.idempotent {
-		s.soak.journal.add(RanTwice, "request %d ran %d times, last at %s", id, times, s.name)
+	if times := s.soak.tracker.recordExecution(id); times > 1 && !r.idempotent {
+		s.soak.violations.add(RanTwice, "request %d ran %d times, last at %s", id, times, s.name)
 	}
 	s.busy++
 	rounds := time.Duration(1 + (s.busy-1)/serverSlots)
@@ -184,7 +184,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.busy--
-		if !s.gone && s.flows[key] == f {
+		if !s.stopped && s.flows[key] == f {
 			s.answer(key, f, id, answerDone)
 		}
 	})
@@ -194,14 +194,14 @@
 func (s *server) answer(key flowKey, f *serverFlow, id uint64, outcome byte) {
 	payload := binary.LittleEndian.AppendUint64(nil, id)
 	a := standin.Packet{
-		Source: key.service, Destination: key.caller, Token: f.token, Sequence: f.sequence, Acknowledged: f.next,
+		Source: key.service, Destination: key.caller, Token: f.token, Sequence: f.sequence, Acknowledged: f.acknowledged,
 		Payload: append(payload, outcome), Final: !s.drainedAt.IsZero(),
 	}
 	f.sequence += uint32(len(a.Payload))
 	f.answer = a.Bytes()
 	s.sendBytes(key.caller, f.answer)
 	if a.Final {
-		s.soak.ledger.end(key, s)
+		s.soak.tracker.recordClose(key, s)
 		delete(s.flows, key)
 	}
 }
@@ -210,7 +210,7 @@
 
 // sendBytes sends a packet to a caller.
 func (s *server) sendBytes(to netip.AddrPort, b []byte) {
-	if !s.soak.network.passes(s.zone, s.soak.callerZone(to.Addr())) {
+	if !s.soak.network.delivers(s.zone, s.soak.callerZone(to.Addr())) {
 		return
 	}
 	// Datagrams may be lost.
@@ -225,14 +225,14 @@
 	}
 }
 
-// crash ends the server without a word.
-func (s *server) crash() {
+// stop ends the server without a word.
+func (s *server) stop() {
 	s.mu.Lock()
-	s.gone = true
+	s.stopped = true
 	clear(s.flows)
 	s.mu.Unlock()
-	s.calm.disturb(time.Now())
-	s.soak.ledger.endAll(s)
+	s.disturbance.extend(time.Now())
+	s.soak.tracker.recordServerGone(s)
 }
 
 // serverName returns the name of the i-th server of a run.
--- a/bronzesoak/soak.go
+++ b/bronzesoak/soak.go
@@ -30,26 +30,26 @@
 	program string
 	dir     string
 	ports   ports
-	net     byte // the second number of all addresses
+	subnet  byte // the second number of all addresses
 	network *network
 	store   *standin.Store
-	// storeCalm is since when the store has been left alone.
-	storeCalm calm
-	ledger    *ledger
-	journal   journal
-	counts    counts
-	router    *router
-	nodes     []*node
-	hosts     []*host
-
-	ids     atomic.Uint64
-	stalls  atomic.Int64
-	version uint64 // of the table; events alone use it, under events
-	events  sync.Mutex
-	serverN int
-
-	registry registry
-	drained  drain
+	// storeDisturbance is since when the store has been left alone.
+	storeDisturbance disturbance
+	tracker          *tracker
+	violations       violationLog
+	counts           counts
+	router           *router
+	nodes            []*node
+	callerHosts      []*callerHost
+
+	lastRequestID atomic.Uint64
+	stalls        atomic.Int64
+	tableVersion  uint64 // of the table; events alone use it, under events
+	eventsMu      sync.Mutex
+	serverCount   int
+
+	registry  registry
+	zoneDrain drainedZone
 
 	mu      sync.Mutex
 	servers []*server
@@ -65,7 +65,7 @@
 	}
 }
 
-func (s *soak) requestID() uint64 { return s.ids.Add(1) }
+func (s *soak) requestID() uint64 { return s.lastRequestID.Add(1) }
 
 // node returns the node with a name, nil if there is none.
 func (s *soak) node(name string) *node {
@@ -82,7 +82,7 @@
 
 // callerZone returns the zone of a caller's address.
 func (s *soak) callerZone(a netip.Addr) string {
-	for _, h := range s.hosts {
+	for _, h := range s.callerHosts {
 		if h.addr == a {
 			return h.zone
 		}
@@ -90,30 +90,30 @@
 	return ""
 }
 
-// judgeReset checks the end of an open flow that its caller was told. Only its
+// checkReset checks the end of an open flow that its caller was told. Only its
 // server may end it, or a node if the server or the route is gone.
-func (s *soak) judgeReset(f *callerFlow, a *arrival) {
-	own := s.ledger.serverOf(f.key)
+func (s *soak) checkReset(f *callerFlow, a *receivedPacket) {
+	own := s.tracker.serverOf(f.key)
 	n := s.nodeOf(a.from)
 	if a.ChecksumValid || own == nil || n == nil {
 		return
 	}
-	if r, ok := s.ledger.route(f.key.service); !ok || !r.inForce() {
+	if r, ok := s.tracker.route(f.key.service); !ok || !r.active() {
 		return
 	}
-	if own.calm.settled() && n.unharmed.settled() {
-		s.journal.add(BrokenFlow, "flow %v at %s was ended by %s", f.key, own.name, n.name)
+	if own.disturbance.settled() && n.faults.settled() {
+		s.violations.add(BrokenFlow, "flow %v at %s was ended by %s", f.key, own.name, n.name)
 	}
 }
 
 // probe has callers ask nodes directly for endpoints that were just added, just
 // withdrawn, or never there, until ctx is done.
-func (s *soak) probe(ctx context.Context, h *host) {
+func (s *soak) probe(ctx context.Context, h *callerHost) {
 	const every = 300 * time.Millisecond
 	for i := 0; ctx.Err() == nil; i++ {
 		bronzeretry.Pause(ctx, every)
 		n := s.nodes[i%len(s.nodes)]
-		routes := s.ledger.inForce()
+		routes := s.tracker.activeRoutes()
 		if len(routes) == 0 || !s.router.ready(n) {
 			continue
 		}
@@ -124,30 +124,30 @@
 // probeRoute opens a flow to a route in force at a node. The node may have no
 // server to send it to, and may not know the route for a while, but must not
 // forget it.
-func (s *soak) probeRoute(ctx context.Context, h *host, n *node, r *route) {
-	begun, known := n.nodeStart(), s.ledger.hasUsed(n.nodeStart(), r.service)
-	late := time.Since(r.addedAt) > published && n.calm.settled() && s.storeCalm.settled() && s.poolSettled(r.pool)
+func (s *soak) probeRoute(ctx context.Context, h *callerHost, n *node, r *route) {
+	begun, known := n.currentStart(), s.tracker.hasUsed(n.currentStart(), r.service)
+	late := time.Since(r.addedAt) > propagationTime && n.disturbance.settled() && s.storeDisturbance.settled() && s.poolSettled(r.pool)
 	f := h.newFlow(r.service, n)
 	_, answered, a := f.connect(ctx)
-	f.end(true)
-	if !answered || !a.Reset || a.ChecksumValid || n.nodeStart() != begun {
+	f.close(true)
+	if !answered || !a.Reset || a.ChecksumValid || n.currentStart() != begun {
 		return
 	}
-	if now, ok := s.ledger.route(r.service); !ok || !now.inForce() {
+	if now, ok := s.tracker.route(r.service); !ok || !now.active() {
 		return
 	}
 	switch {
 	case known && s.poolSettled(r.pool):
-		s.journal.add(WentBack, "%s has used %s and refuses it", n.name, r.service)
+		s.violations.add(WentBack, "%s has used %s and refuses it", n.name, r.service)
 	case late:
-		s.journal.add(OldTable, "%s refuses %s, added %v ago", n.name, r.service, time.Since(r.addedAt))
+		s.violations.add(OldTable, "%s refuses %s, added %v ago", n.name, r.service, time.Since(r.addedAt))
 	}
 }
 
 // poolSettled reports whether nothing was done to any server of a pool lately.
 func (s *soak) poolSettled(pool string) bool {
 	for _, server := range s.serversOf(pool) {
-		if !server.calm.settled() {
+		if !server.disturbance.settled() {
 			return false
 		}
 	}
@@ -168,14 +168,14 @@
 
 // publish has the store take the routes in force in, with a new version.
 func (s *soak) publish() {
-	s.version += 3
+	s.tableVersion += 3
 	s.putTable()
 }
 
 // putTable writes the table of the present version.
 func (s *soak) putTable() {
-	t := standin.Table{Version: s.version, IdleTimeout: time.Minute}
-	for i, r := range s.ledger.inForce() {
+	t := standin.Table{Version: s.tableVersion, IdleTimeout: time.Minute}
+	for i, r := range s.tracker.activeRoutes() {
 		t.Routes = append(t.Routes, standin.Route{
 			Name: r.service.String(), Service: r.service, Pool: r.pool, Idempotent: r.idempotent,
 			Objective: time.Duration(500+i) * time.Millisecond,
--- a/bronzesoak/tracker.go
+++ b/bronzesoak/tracker.go
@@ -20,26 +20,26 @@
 	removedAt time.Time
 }
 
-func (r *route) inForce() bool { return r.removedAt.IsZero() }
+func (r *route) active() bool { return r.removedAt.IsZero() }
 
 // openFlow is a flow that is open at a server.
 type openFlow struct {
 	server *server
-	// seenAt is when its server last had a packet of it, strayed how many others
+	// lastPacketAt is when its server last had a packet of it, strayed how many others
 	// had since.
-	seenAt  time.Time
-	strayed int
+	lastPacketAt time.Time
+	strays       int
 }
 
-// ledger is what was published and what ends saw.
-type ledger struct {
-	mu     sync.Mutex
-	routes map[netip.AddrPort]*route
-	order  []netip.AddrPort
-	flows  map[flowKey]*openFlow
-	ran    map[uint64]int
-	// used are the nodes' starts by which a route was used.
-	used map[nodeStart]map[netip.AddrPort]bool
+// tracker is what was published and what ends saw.
+type tracker struct {
+	mu         sync.Mutex
+	routes     map[netip.AddrPort]*route
+	order      []netip.AddrPort
+	flows      map[flowKey]*openFlow
+	executions map[uint64]int
+	// usedRoutes are the nodes' starts by which a route was usedRoutes.
+	usedRoutes map[nodeStart]map[netip.AddrPort]bool
 }
 
 // nodeStart is one start of a node.
@@ -48,14 +48,14 @@
 	start int
 }
 
-func newLedger() *ledger {
-	return &ledger{
-		routes: map[netip.AddrPort]*route{}, flows: map[flowKey]*openFlow{}, ran: map[uint64]int{},
-		used: map[nodeStart]map[netip.AddrPort]bool{},
+func newTracker() *tracker {
+	return &tracker{
+		routes: map[netip.AddrPort]*route{}, flows: map[flowKey]*openFlow{}, executions: map[uint64]int{},
+		usedRoutes: map[nodeStart]map[netip.AddrPort]bool{},
 	}
 }
 
-func (l *ledger) add(r *route) {
+func (l *tracker) addRoute(r *route) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.routes[r.service] = r
@@ -63,7 +63,7 @@
 }
 
 // route returns a copy of what is known of an endpoint.
-func (l *ledger) route(service netip.AddrPort) (r route, ok bool) {
+func (l *tracker) route(service netip.AddrPort) (r route, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	known := l.routes[service]
@@ -73,34 +73,34 @@
 	return *known, true
 }
 
-// remove notes that an endpoint's route is withdrawn.
-func (l *ledger) remove(service netip.AddrPort, at time.Time) {
+// removeRoute notes that an endpoint's route is withdrawn.
+func (l *tracker) removeRoute(service netip.AddrPort, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.routes[service].removedAt = at
 }
 
-// inForce returns the routes in force, in the order of their adding.
-func (l *ledger) inForce() (list []route) {
+// activeRoutes returns the routes in force, in the order of their adding.
+func (l *tracker) activeRoutes() (list []route) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, service := range l.order {
-		if r := l.routes[service]; r.inForce() {
+		if r := l.routes[service]; r.active() {
 			list = append(list, *r)
 		}
 	}
 	return list
 }
 
-// open notes that a flow is open at a server.
-func (l *ledger) open(key flowKey, s *server) {
+// recordOpen notes that a flow is recordOpen at a server.
+func (l *tracker) recordOpen(key flowKey, s *server) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.flows[key] = &openFlow{server: s, seenAt: time.Now()}
+	l.flows[key] = &openFlow{server: s, lastPacketAt: time.Now()}
 }
 
-// end notes that a flow is no longer open.
-func (l *ledger) end(key flowKey, s *server) {
+// recordClose notes that a flow is no longer open.
+func (l *tracker) recordClose(key flowKey, s *server) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if f := l.flows[key]; f != nil && (s == nil || f.server == s) {
@@ -108,8 +108,8 @@
 	}
 }
 
-// endAll notes that a server has forgotten its flows.
-func (l *ledger) endAll(s *server) {
+// recordServerGone notes that a server has forgotten its flows.
+func (l *tracker) recordServerGone(s *server) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for key, f := range l.flows {
@@ -120,7 +120,7 @@
 }
 
 // serverOf returns the server at which a flow is open, nil if at none.
-func (l *ledger) serverOf(key flowKey) *server {
+func (l *tracker) serverOf(key flowKey) *server {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if f := l.flows[key]; f != nil {
@@ -129,16 +129,16 @@
 	return nil
 }
 
-// strayedFor and strayedMost are how long a flow's packets may go to others
+// strayTimeout and minStrays are how long a flow's packets may go to others
 // alone, and how many of them.
 const (
-	strayedFor  = 2 * time.Second
-	strayedMost = 3
+	strayTimeout = 2 * time.Second
+	minStrays    = 3
 )
 
-// packetAt notes a packet of a flow at a server. It returns the flow's server if
+// recordPacket notes a packet of a flow at a server. It returns the flow's server if
 // its packets have strayed.
-func (l *ledger) packetAt(key flowKey, s *server) (own *server) {
+func (l *tracker) recordPacket(key flowKey, s *server) (own *server) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f := l.flows[key]
@@ -146,36 +146,36 @@
 	case f == nil:
 		return nil
 	case f.server == s:
-		f.seenAt, f.strayed = time.Now(), 0
+		f.lastPacketAt, f.strays = time.Now(), 0
 		return nil
 	}
-	f.strayed++
-	if f.strayed >= strayedMost && time.Since(f.seenAt) >= strayedFor {
+	f.strays++
+	if f.strays >= minStrays && time.Since(f.lastPacketAt) >= strayTimeout {
 		return f.server
 	}
 	return nil
 }
 
-// run notes that a request runs, and returns how often it has.
-func (l *ledger) run(id uint64) int {
+// recordExecution notes that a request runs, and returns how often it has.
+func (l *tracker) recordExecution(id uint64) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ran[id]++
-	return l.ran[id]
+	l.executions[id]++
+	return l.executions[id]
 }
 
-// use notes that a start of a node forwarded by a route.
-func (l *ledger) use(s nodeStart, service netip.AddrPort) {
+// recordUse notes that a start of a node forwarded by a route.
+func (l *tracker) recordUse(s nodeStart, service netip.AddrPort) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.used[s] == nil {
-		l.used[s] = map[netip.AddrPort]bool{}
+	if l.usedRoutes[s] == nil {
+		l.usedRoutes[s] = map[netip.AddrPort]bool{}
 	}
-	l.used[s][service] = true
+	l.usedRoutes[s][service] = true
 }
 
-func (l *ledger) hasUsed(s nodeStart, service netip.AddrPort) bool {
+func (l *tracker) hasUsed(s nodeStart, service netip.AddrPort) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.used[s][service]
+	return l.usedRoutes[s][service]
 }
