--- a/bronzesoak/doc.go
+++ b/bronzesoak/doc.go
@@ -1,17 +1,18 @@
-// Package bronzesoak runs real balancers as processes between stand-ins of
-// their platform, does harm to them from outside, and checks meanwhile what
-// callers and BackendServers are promised, from what these see.
+// Package bronzesoak is a fault-injection soak test. It runs real balancers as
+// processes between stand-ins of their platform, injects faults from outside,
+// and checks invariants on what callers and BackendServers observe.
 //
-// A Plan says what happens when: it is drawn from a seed, or read from a file.
-// Nodes are processes of the program under test, stopped, paused, killed and
-// restarted by signals. Between them, the store and the servers stand proxies
-// on loopback that delay, reset, silence, lose or cut. Callers and servers are
-// stand-ins in this process, with an address of their own each.
+// A Plan schedules the faults and other events of a run. It is generated from a
+// seed or read from a file. Nodes are processes of the program under test that
+// are stopped, paused, killed and restarted by signals. Proxies on loopback
+// addresses between nodes, the store and the servers delay, reset, stall, drop
+// or block traffic. Callers and servers are stand-ins in this process.
 //
-// What callers and servers see is checked against what was published and done:
-// see Promise for what must hold. A promise with a bound in time counts only
-// where the node, the server and the store concerned have been left alone for
-// settled. Clocks of nodes are not set, and they store nothing.
+// Observations of callers and servers are checked against what was published
+// and injected: see Invariant. An invariant with a time bound is checked only
+// where the node, the server or the store concerned has been undisturbed for
+// settleTime. Nodes store nothing and their clocks are not changed, so there
+// are no faults of disks or clocks.
 //
 // # Usage
 //
--- a/bronzesoak/invariant.go
+++ b/bronzesoak/invariant.go
@@ -6,61 +6,70 @@
 	"time"
 )
 
-// Invariant is something that callers or servers are promised.
+// Invariant names a guarantee to callers or servers that a run checks.
 type Invariant string
 
-// The promises.
+// The invariants. Each comment describes a violation.
 const (
-	// Misrouted: a server got a packet for an endpoint whose routes never named
-	// its pool.
+	// Misrouted: a server received a packet for an endpoint that was never routed
+	// to its pool.
 	Misrouted Invariant = "Misrouted"
-	// Altered: an end got a packet that the other end had not written so.
+	// Altered: a caller or server received a packet that the other end had not
+	// written in this form.
 	Altered Invariant = "Altered"
-	// BrokenFlow: the caller of an open flow was told its end by a node, though
-	// its server was there.
+	// BrokenFlow: a node reset an open flow although its server was running and
+	// its route active.
 	BrokenFlow Invariant = "BrokenFlow"
-	// Strayed: packets of an open flow went to other servers for two seconds, and
-	// none to its own.
+	// Strayed: for strayTimeout, packets of an open flow went to other servers
+	// and none to its own.
 	Strayed Invariant = "Strayed"
-	// RanTwice: a request that must not be repeated ran twice.
+	// RanTwice: a request that is not idempotent ran more than once.
 	RanTwice Invariant = "RanTwice"
-	// NewOnDraining: a server got a new flow three seconds after it said that it
-	// drains.
+	// NewOnDraining: a server received a new flow more than propagationTime and
+	// openRetransmitTime after it registered as draining.
 	NewOnDraining Invariant = "NewOnDraining"
-	// NewInDrainedZone: a server got a new flow three seconds after its zone was drained.
+	// NewInDrainedZone: a server received a new flow more than propagationTime
+	// and openRetransmitTime after its zone was drained.
 	NewInDrainedZone Invariant = "NewInDrainedZone"
-	// OldTable: a node went by an older table three seconds after a newer one.
+	// OldTable: a node applied an outdated route table more than propagationTime
+	// after a newer one was published, for withdrawn routes more than
+	// propagationTime and openRetransmitTime.
 	OldTable Invariant = "OldTable"
-	// WentBack: a node went by an older table after it had used a newer one.
+	// WentBack: a node refused a route that it had used before.
 	WentBack Invariant = "WentBack"
-	// ReadyAgain: a node that leaves was ready again.
+	// ReadyAgain: a leaving node reported that it was ready unreadyDeadline or
+	// more after it was told to leave.
 	ReadyAgain Invariant = "ReadyAgain"
-	// LeftLate: a node that was told to end took longer than its grace.
+	// LeftLate: a node took longer than leaveGrace and leaveTolerance to exit
+	// after it was told to leave.
 	LeftLate Invariant = "LeftLate"
-	// Exited: a node ended by itself.
+	// Exited: a node process exited although it had been neither killed nor told
+	// to leave.
 	Exited Invariant = "Exited"
-	// Unserved: of the requests at the end, when all has been well for seconds,
-	// fewer than nine tenths were served.
+	// Unserved: less than minFinalServed of the requests near the end of the run,
+	// when generated plans start no more events, were served.
 	Unserved Invariant = "Unserved"
 )
 
-// Violation is a promise that did not hold.
+// Violation is an observation that contradicts an invariant. Results call it a
+// broken promise.
 type Violation struct {
 	Promise Invariant
-	// AtMS is when, from the start of traffic.
+	// AtMS is the time since the start of traffic in milliseconds.
 	AtMS int64
+	// What describes the observation.
 	What string
 }
 
-// String returns it as one line.
-func (b Violation) String() string {
-	return fmt.Sprintf("%.3f s %s: %s", float64(b.AtMS)/1000, b.Promise, b.What)
+// String returns the violation as one line of text.
+func (v Violation) String() string {
+	return fmt.Sprintf("%.3f s %s: %s", float64(v.AtMS)/1000, v.Promise, v.What)
 }
 
-// maxViolations bounds what is kept of broken promises.
+// maxViolations is how many violations of a run are kept; all are counted.
 const maxViolations = 50
 
-// violationLog keeps what was broken.
+// violationLog holds the violations of a run.
 type violationLog struct {
 	mu    sync.Mutex
 	start time.Time
@@ -68,36 +77,37 @@
 	total int
 }
 
-func (j *violationLog) add(p Invariant, format string, args ...any) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.total++
-	if len(j.list) < maxViolations {
-		j.list = append(j.list, Violation{Promise: p, AtMS: time.Since(j.start).Milliseconds(), What: fmt.Sprintf(format, args...)})
+func (l *violationLog) add(invariant Invariant, format string, args ...any) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.total++
+	if len(l.list) < maxViolations {
+		l.list = append(l.list, Violation{Promise: invariant, AtMS: time.Since(l.start).Milliseconds(), What: fmt.Sprintf(format, args...)})
 	}
 }
 
-// disturbance is since when something has been left alone.
+// disturbance records until when a component was last disturbed.
 type disturbance struct {
 	mu    sync.Mutex
 	until time.Time
 }
 
-// extend notes that something is done to it until a time.
-func (c *disturbance) extend(until time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if until.After(c.until) {
-		c.until = until
+// extend records that the component is disturbed until a time.
+func (d *disturbance) extend(until time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if until.After(d.until) {
+		d.until = until
 	}
 }
 
-// settleTime is how long something must have been left alone for promises with a
-// bound in time to count.
+// settleTime is how long a component must have been undisturbed for invariants
+// with a time bound to be checked.
 const settleTime = 4 * time.Second
 
-func (c *disturbance) settled() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return time.Since(c.until) >= settleTime
+// settled reports whether the component has been undisturbed for settleTime.
+func (d *disturbance) settled() bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return time.Since(d.until) >= settleTime
 }
--- a/bronzesoak/plan.go
+++ b/bronzesoak/plan.go
@@ -10,56 +10,59 @@
 	"github.com/pkg/errors"
 )
 
-// Kind is what an Event does.
+// Kind is the kind of an Event.
 type Kind string
 
-// The kinds of events.
+// The kinds of events. Those with a duration last for the event's ForMS.
 const (
-	// KillNode kills a node; it starts again after For.
+	// KillNode kills a node and restarts it after ForMS.
 	KillNode Kind = "KillNode"
-	// KillAll kills all nodes at once; they start again after For.
+	// KillAll kills all nodes at once and restarts them after ForMS.
 	KillAll Kind = "KillAll"
-	// LeaveNode tells a node to end by SIGTERM; it starts again when it has.
+	// LeaveNode tells a node to leave by SIGTERM and restarts it when it has
+	// exited.
 	LeaveNode Kind = "LeaveNode"
-	// RollNodes does that to all nodes, one each For.
+	// RollNodes does the same with all nodes, one every ForMS.
 	RollNodes Kind = "RollNodes"
-	// PauseNode stops a node for For, by SIGSTOP.
+	// PauseNode suspends a node by SIGSTOP for ForMS.
 	PauseNode Kind = "PauseNode"
 	// ReloadNode changes a node's settings and sends it SIGHUP.
 	ReloadNode Kind = "ReloadNode"
-	// CutStore cuts a node off from the store for For: Mode says how.
+	// CutStore has one node's connections to the store fail as Mode says.
 	CutStore Kind = "CutStore"
-	// CutPeers cuts a node off from the other nodes for For.
+	// CutPeers cuts a node off from the other nodes.
 	CutPeers Kind = "CutPeers"
-	// CutZone cuts a zone off from all others and the store for For.
+	// CutZone cuts a zone off from all others and from the store.
 	CutZone Kind = "CutZone"
-	// LoseZone loses some packets between a zone and the others for For.
+	// LoseZone loses some of the packets between a zone and the others.
 	LoseZone Kind = "LoseZone"
-	// StoreDown has the store answer nobody, or with errors, for For.
+	// StoreDown has the store fail for all nodes as Mode says.
 	StoreDown Kind = "StoreDown"
-	// StoreForgets has watches hear nothing for For, then drops the history.
+	// StoreForgets suppresses watch events for ForMS, then compacts the store's
+	// history.
 	StoreForgets Kind = "StoreForgets"
-	// RestoreStore copies the store, and after For has it come back from the copy. Its
-	// writers write again what it lost.
+	// RestoreStore backs up the store and restores it from the backup after ForMS.
+	// Its writers then write again what was lost.
 	RestoreStore Kind = "RestoreStore"
-	// DrainZone drains a zone for For, unless another one is.
+	// DrainZone drains a zone, unless a zone is already drained.
 	DrainZone Kind = "DrainZone"
-	// CrashServer ends a server without a word; another one starts after For.
+	// CrashServer stops a server without draining it; another one starts after
+	// ForMS.
 	CrashServer Kind = "CrashServer"
-	// ReplaceServer has a server drain and leave when another one has started.
+	// ReplaceServer starts a server, then drains and stops an old one.
 	ReplaceServer Kind = "ReplaceServer"
-	// ReuseAddress crashes a server and gives its address to one of another
-	// pool after For.
+	// ReuseAddress crashes a server and starts one of another pool at its address
+	// after ForMS.
 	ReuseAddress Kind = "ReuseAddress"
-	// AddRoute and RemoveRoute publish a new table.
+	// AddRoute and RemoveRoute publish a table with one route more or less.
 	AddRoute    Kind = "AddRoute"
 	RemoveRoute Kind = "RemoveRoute"
-	// Surge has twice the callers for For.
+	// Surge doubles the number of callers.
 	Surge Kind = "Surge"
 )
 
-// randomKinds are the kinds that a plan is randomKinds from first; RestoreStore and DrainZone come on
-// top, so that the seeds of before have their events still.
+// randomKinds are the kinds that NewPlan draws from first. RestoreStore and
+// DrainZone are drawn after these, so that a seed keeps its other events.
 var randomKinds = []Kind{
 	KillNode, KillAll, LeaveNode, RollNodes, PauseNode, ReloadNode, CutStore, CutPeers, CutZone, LoseZone, StoreDown,
 	StoreForgets, CrashServer, ReplaceServer, ReuseAddress, AddRoute, RemoveRoute, Surge,
@@ -70,30 +73,30 @@
 // FailureMode is how a connection to the store fails.
 type FailureMode string
 
-// The modes.
+// The failure modes.
 const (
-	// Silent: open connections carry nothing more, new ones don't open.
+	// Silent: connections stay open but carry nothing.
 	Silent FailureMode = "Silent"
 	// Reset: all connections are reset.
 	Reset FailureMode = "Reset"
-	// Slow: each answer takes longer.
+	// Slow: each answer is delayed.
 	Slow FailureMode = "Slow"
-	// AnswersLost: requests arrive, their answers don't.
+	// AnswersLost: requests arrive, but their answers are lost.
 	AnswersLost FailureMode = "AnswersLost"
-	// Refused: the store answers with an error.
+	// Refused: the store answers with an error, in StoreDown only.
 	Refused FailureMode = "Refused"
 )
 
 var allModes = []FailureMode{Silent, Reset, Slow, AnswersLost, Refused}
 
-// Event is something that is done to the deployment.
+// Event is a fault or a change of the deployment.
 type Event struct {
-	// AtMS is when it begins, counted from the start of traffic, and ForMS how
-	// long it lasts, in milliseconds.
+	// AtMS is when the event begins, counted from the start of traffic, and ForMS
+	// how long it lasts, both in milliseconds.
 	AtMS  int
 	ForMS int `json:",omitempty"`
 	Kind  Kind
-	// Target is the index of the node, zone or server.
+	// Target is the index of the node, zone or server, modulo their number.
 	Target int         `json:",omitempty"`
 	Mode   FailureMode `json:",omitempty"`
 }
@@ -101,29 +104,33 @@
 func (e *Event) offset() time.Duration   { return time.Duration(e.AtMS) * time.Millisecond }
 func (e *Event) duration() time.Duration { return time.Duration(e.ForMS) * time.Millisecond }
 
-// Plan is a deployment and what is done to it.
+// Plan is a deployment and a schedule of events.
 type Plan struct {
 	Seed uint64
-	// Seconds is how long callers come. The last Quiet of them are without events.
+	// Seconds is how long callers make requests.
 	Seconds float64
-	// Zones has NodesPerZone nodes and ServersPerZone servers of each pool each.
+	// Zones is the number of zones, each with NodesPerZone nodes and
+	// ServersPerZone servers of each pool.
 	Zones          int
 	NodesPerZone   int
 	ServersPerZone int
-	// Callers open flows; each makes a request about every PauseMS.
+	// Callers is the number of concurrent callers, and PauseMS the average pause of
+	// each between two requests in milliseconds.
 	Callers int
 	PauseMS int
-	// WorkMS is what a request takes at a server, on average.
+	// WorkMS is the average service time of a request in milliseconds, without
+	// queueing.
 	WorkMS int
 	Events []Event
 }
 
-// recoveryPeriod is how long the end of a plan is left alone, so that what recovers can
-// be seen to.
+// recoveryPeriod is the time without new events at the end of a plan, in which
+// recovery is checked.
 const recoveryPeriod = 6 * time.Second
 
-// NewPlan draws a plan from a seed: some events by themselves, a series of one
-// kind, and several at the same moment.
+// NewPlan generates a plan from a seed: independent events, a series of one
+// kind, and several events at the same moment, then up to two restores of the
+// store and at most one drain of a zone.
 func NewPlan(seed uint64, length time.Duration) Plan {
 	r := rand.New(rand.NewPCG(seed, 0x50a4))
 	p := Plan{
@@ -166,7 +173,8 @@
 	slices.SortStableFunc(p.Events, func(a, b Event) int { return a.AtMS - b.AtMS })
 }
 
-// ReadPlan reads a plan from a JSON file with the fields' names.
+// ReadPlan reads a plan from a JSON file whose keys are the names of the fields,
+// sorts its events by time and checks it.
 func ReadPlan(path string) (p Plan, err error) {
 	defer func() { err = errors.Wrapf(err, "plan %s", path) }()
 	b, err := os.ReadFile(path)
@@ -180,17 +188,17 @@
 	return p, p.Check()
 }
 
-// Check returns an error that names the first field that can't be used.
+// Check returns an error that names the first invalid field.
 func (p *Plan) Check() error {
 	switch {
 	case p.Seconds <= 0 || p.Seconds > 3600:
-		return errors.Errorf("Seconds: %g is not over 0 and at most 3600", p.Seconds)
+		return errors.Errorf("Seconds: %g is not greater than 0 and at most 3600", p.Seconds)
 	case p.Zones < 1 || p.Zones > 16:
 		return errors.Errorf("Zones: %d is not between 1 and 16", p.Zones)
 	case p.NodesPerZone < 1 || p.Zones*p.NodesPerZone > 200:
-		return errors.Errorf("NodesPerZone: %d makes no nodes, or over 200", p.NodesPerZone)
+		return errors.Errorf("NodesPerZone: %d results in no nodes or more than 200", p.NodesPerZone)
 	case p.ServersPerZone < 1 || p.Zones*p.ServersPerZone > 200:
-		return errors.Errorf("ServersPerZone: %d makes no servers, or over 200 a pool", p.ServersPerZone)
+		return errors.Errorf("ServersPerZone: %d results in no servers or more than 200 per pool", p.ServersPerZone)
 	case p.Callers < 1 || p.Callers > 10_000:
 		return errors.Errorf("Callers: %d is not between 1 and 10000", p.Callers)
 	case p.PauseMS < 1:
@@ -200,10 +208,10 @@
 	}
 	for i := range p.Events {
 		if !slices.Contains(allKinds, p.Events[i].Kind) {
-			return errors.Errorf("Events[%d].Kind: %q is none of %v", i, p.Events[i].Kind, allKinds)
+			return errors.Errorf("Events[%d].Kind: %q is not one of %v", i, p.Events[i].Kind, allKinds)
 		}
 		if m := p.Events[i].Mode; m != "" && !slices.Contains(allModes, m) {
-			return errors.Errorf("Events[%d].Mode: %q is none of %v", i, m, allModes)
+			return errors.Errorf("Events[%d].Mode: %q is not one of %v", i, m, allModes)
 		}
 	}
 	return nil
--- a/bronzesoak/tracker.go
+++ b/bronzesoak/tracker.go
@@ -6,43 +6,43 @@
 	"time"
 )
 
-// flowKey names a flow.
+// flowKey identifies a flow by both endpoints.
 type flowKey struct{ caller, service netip.AddrPort }
 
-// route is an endpoint and what became of it.
+// route is a published route and when it was added and withdrawn.
 type route struct {
 	service    netip.AddrPort
 	pool       string
 	idempotent bool
-	// addedAt and removedAt are when the store took the table in that has it,
-	// and the one that has it no more.
+	// addedAt is when the store had the first table with the route, removedAt
+	// when it had the first table without it; zero if not yet.
 	addedAt   time.Time
 	removedAt time.Time
 }
 
 func (r *route) active() bool { return r.removedAt.IsZero() }
 
-// openFlow is a flow that is open at a server.
+// openFlow is a flow that a server holds open.
 type openFlow struct {
 	server *server
-	// lastPacketAt is when its server last had a packet of it, strayed how many others
-	// had since.
+	// lastPacketAt is when its server last received a packet of it, strays how
+	// many packets other servers have received since.
 	lastPacketAt time.Time
 	strays       int
 }
 
-// tracker is what was published and what ends saw.
+// tracker records the published routes and what callers and servers observed.
 type tracker struct {
 	mu         sync.Mutex
 	routes     map[netip.AddrPort]*route
 	order      []netip.AddrPort
 	flows      map[flowKey]*openFlow
-	executions map[uint64]int
-	// usedRoutes are the nodes' starts by which a route was usedRoutes.
+	executions map[uint64]int // by request ID
+	// usedRoutes are the routes by which each process of a node has forwarded.
 	usedRoutes map[nodeStart]map[netip.AddrPort]bool
 }
 
-// nodeStart is one start of a node.
+// nodeStart identifies one process of a node by the number of its start.
 type nodeStart struct {
 	node  string
 	start int
@@ -55,93 +55,95 @@
 	}
 }
 
-func (l *tracker) addRoute(r *route) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.routes[r.service] = r
-	l.order = append(l.order, r.service)
+func (t *tracker) addRoute(r *route) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.routes[r.service] = r
+	t.order = append(t.order, r.service)
 }
 
-// route returns a copy of what is known of an endpoint.
-func (l *tracker) route(service netip.AddrPort) (r route, ok bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	known := l.routes[service]
+// route returns a copy of the route of an endpoint.
+func (t *tracker) route(service netip.AddrPort) (r route, ok bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	known := t.routes[service]
 	if known == nil {
 		return r, false
 	}
 	return *known, true
 }
 
-// removeRoute notes that an endpoint's route is withdrawn.
-func (l *tracker) removeRoute(service netip.AddrPort, at time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.routes[service].removedAt = at
+// removeRoute records when the route of an endpoint was withdrawn.
+func (t *tracker) removeRoute(service netip.AddrPort, at time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.routes[service].removedAt = at
 }
 
-// activeRoutes returns the routes in force, in the order of their adding.
-func (l *tracker) activeRoutes() (list []route) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, service := range l.order {
-		if r := l.routes[service]; r.active() {
+// activeRoutes returns the routes that are not withdrawn, in the order of their
+// addition.
+func (t *tracker) activeRoutes() (list []route) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, service := range t.order {
+		if r := t.routes[service]; r.active() {
 			list = append(list, *r)
 		}
 	}
 	return list
 }
 
-// recordOpen notes that a flow is recordOpen at a server.
-func (l *tracker) recordOpen(key flowKey, s *server) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.flows[key] = &openFlow{server: s, lastPacketAt: time.Now()}
+// recordOpen records that a server holds a flow open.
+func (t *tracker) recordOpen(key flowKey, s *server) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.flows[key] = &openFlow{server: s, lastPacketAt: time.Now()}
 }
 
-// recordClose notes that a flow is no longer open.
-func (l *tracker) recordClose(key flowKey, s *server) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if f := l.flows[key]; f != nil && (s == nil || f.server == s) {
-		delete(l.flows, key)
+// recordClose records that a flow is closed: at server s only, or at any if s
+// is nil.
+func (t *tracker) recordClose(key flowKey, s *server) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if f := t.flows[key]; f != nil && (s == nil || f.server == s) {
+		delete(t.flows, key)
 	}
 }
 
-// recordServerGone notes that a server has forgotten its flows.
-func (l *tracker) recordServerGone(s *server) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for key, f := range l.flows {
+// recordServerGone records that a server has lost its flows.
+func (t *tracker) recordServerGone(s *server) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for key, f := range t.flows {
 		if f.server == s {
-			delete(l.flows, key)
+			delete(t.flows, key)
 		}
 	}
 }
 
-// serverOf returns the server at which a flow is open, nil if at none.
-func (l *tracker) serverOf(key flowKey) *server {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if f := l.flows[key]; f != nil {
+// serverOf returns the server that holds a flow open, nil if there is none.
+func (t *tracker) serverOf(key flowKey) *server {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if f := t.flows[key]; f != nil {
 		return f.server
 	}
 	return nil
 }
 
-// strayTimeout and minStrays are how long a flow's packets may go to others
-// alone, and how many of them.
+// A flow has strayed when its own server has received nothing for strayTimeout
+// and other servers have received minStrays packets since.
 const (
 	strayTimeout = 2 * time.Second
 	minStrays    = 3
 )
 
-// recordPacket notes a packet of a flow at a server. It returns the flow's server if
-// its packets have strayed.
-func (l *tracker) recordPacket(key flowKey, s *server) (own *server) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	f := l.flows[key]
+// recordPacket records a packet of a flow at a server. It returns the flow's own
+// server if the flow has strayed, nil otherwise.
+func (t *tracker) recordPacket(key flowKey, s *server) (own *server) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	f := t.flows[key]
 	switch {
 	case f == nil:
 		return nil
@@ -156,26 +158,26 @@
 	return nil
 }
 
-// recordExecution notes that a request runs, and returns how often it has.
-func (l *tracker) recordExecution(id uint64) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.executions[id]++
-	return l.executions[id]
+// recordExecution records that a request runs, and returns how often it has run.
+func (t *tracker) recordExecution(id uint64) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.executions[id]++
+	return t.executions[id]
 }
 
-// recordUse notes that a start of a node forwarded by a route.
-func (l *tracker) recordUse(s nodeStart, service netip.AddrPort) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.usedRoutes[s] == nil {
-		l.usedRoutes[s] = map[netip.AddrPort]bool{}
+// recordUse records that a process of a node forwarded by a route.
+func (t *tracker) recordUse(s nodeStart, service netip.AddrPort) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.usedRoutes[s] == nil {
+		t.usedRoutes[s] = map[netip.AddrPort]bool{}
 	}
-	l.usedRoutes[s][service] = true
+	t.usedRoutes[s][service] = true
 }
 
-func (l *tracker) hasUsed(s nodeStart, service netip.AddrPort) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.usedRoutes[s][service]
+func (t *tracker) hasUsed(s nodeStart, service netip.AddrPort) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.usedRoutes[s][service]
 }
