--- a/bronzesoak/event.go
+++ b/bronzesoak/event.go
@@ -13,7 +13,7 @@
 	"bronzeusher.example/bronzeusher/bronzeretry"
 )
 
-// apply does what an event says and returns when it is over.
+// apply executes an event and returns when it is over.
 func (s *soak) apply(ctx context.Context, e *Event) {
 	n := s.nodes[e.Target%len(s.nodes)]
 	zone := zoneName(e.Target % s.plan.Zones)
@@ -37,9 +37,9 @@
 		s.changeFor(ctx, e.duration(), func(by int) { s.network.isolated[n.name] += by })
 		n.disturb(0, false)
 	case CutZone:
-		s.cutZone(ctx, zone, e.duration(), s.network.cut)
+		s.degradeZone(ctx, zone, e.duration(), s.network.cut)
 	case LoseZone:
-		s.cutZone(ctx, zone, e.duration(), s.network.lossy)
+		s.degradeZone(ctx, zone, e.duration(), s.network.lossy)
 	case StoreDown:
 		s.storeDown(ctx, e)
 	case StoreForgets:
@@ -53,7 +53,7 @@
 	}
 }
 
-// applyToServers does what an event says of servers, routes and callers.
+// applyToServers executes an event that affects servers, routes or callers.
 func (s *soak) applyToServers(ctx context.Context, e *Event) {
 	switch e.Kind {
 	case CrashServer:
@@ -75,7 +75,8 @@
 	}
 }
 
-// changeFor calls change with 1 and, after d, with -1.
+// changeFor calls change with 1 and, after d, with -1, both as updates of the
+// network.
 func (s *soak) changeFor(ctx context.Context, d time.Duration, change func(by int)) {
 	s.network.update(func() { change(1) })
 	bronzeretry.Pause(ctx, d)
@@ -95,14 +96,15 @@
 	}
 }
 
-// rollingRestart restarts all nodes, one after the other, for as long as there are events.
-func (s *soak) rollingRestart(ctx context.Context, each time.Duration) {
+// rollingRestart restarts all nodes, one every interval, but none in the
+// recovery period.
+func (s *soak) rollingRestart(ctx context.Context, interval time.Duration) {
 	for _, n := range s.nodes {
 		if time.Since(s.violations.start) > s.plan.length()-recoveryPeriod {
 			return
 		}
 		go n.restart(ctx)
-		bronzeretry.Pause(ctx, each)
+		bronzeretry.Pause(ctx, interval)
 	}
 }
 
@@ -114,8 +116,9 @@
 	n.disturb(0, false)
 }
 
-// cutZone counts a zone among those that are cut off, or lossy, for d.
-func (s *soak) cutZone(ctx context.Context, zone string, d time.Duration, which map[string]int) {
+// degradeZone counts a zone in affected, the network's cut or lossy zones, for d.
+// Nodes and servers of the zone count as disturbed.
+func (s *soak) degradeZone(ctx context.Context, zone string, d time.Duration, affected map[string]int) {
 	disturb := func(d time.Duration) {
 		for _, n := range s.nodes {
 			if n.zone == zone {
@@ -129,12 +132,11 @@
 		}
 	}
 	disturb(d)
-	s.changeFor(ctx, d, func(by int) { which[zone] += by })
+	s.changeFor(ctx, d, func(by int) { affected[zone] += by })
 	disturb(0)
 }
 
-// storeDown has the store fail for everybody; registrations lapse meanwhile, and
-// are back when it is.
+// storeDown has the store fail for all nodes.
 func (s *soak) storeDown(ctx context.Context, e *Event) {
 	s.storeDisturbance.extend(time.Now().Add(e.duration()))
 	if e.Mode == Refused {
@@ -147,6 +149,8 @@
 	s.storeDisturbance.extend(time.Now())
 }
 
+// storeForgets has watches miss events for d, one of them a new route, and then
+// compacts the store's history.
 func (s *soak) storeForgets(ctx context.Context, d time.Duration) {
 	s.storeDisturbance.extend(time.Now().Add(d))
 	s.store.SetEventsSuppressed(true)
@@ -157,7 +161,8 @@
 	s.storeDisturbance.extend(time.Now())
 }
 
-// takeServer picks a server and takes it out of those that events are for.
+// takeServer picks a server and removes it from those that events choose from,
+// unless it is the last one.
 func (s *soak) takeServer(target int) *server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -169,14 +174,17 @@
 	return server
 }
 
-// registry is which servers are registered; writes to the store are ordered by its lock.
+// registry holds the registered servers. Its lock orders writes of registrations
+// to the store.
 type registry struct {
 	mu sync.Mutex
-	// servers has each server that ever was, nil once it isn't any more.
+	// servers maps the name of each server that was ever registered to the
+	// server, or to nil once it is unregistered.
 	servers map[string]*server
 }
 
-// register writes a server's registration; the caller holds its lock, or knows it alone.
+// register writes a server's registration. The caller holds the server's lock or
+// is the only one to know the server.
 func (s *soak) register(added *server) {
 	s.registry.mu.Lock()
 	defer s.registry.mu.Unlock()
@@ -202,21 +210,23 @@
 }
 
 const (
-	// restoreOutage is how long the store is away before it comes back from a copy.
+	// restoreOutage is how long the store is unreachable before it is restored.
 	restoreOutage = 300 * time.Millisecond
-	// rewriteDelay is how long after that the operator writes again, and the servers
-	// as long after the operator.
+	// rewriteDelay is the time from a restore until the operator writes again, and
+	// from then until the servers do.
 	rewriteDelay = 600 * time.Millisecond
 )
 
-// restoreStore has the store come back from a copy that is d old.
+// restoreStore restores the store from a backup that was made d and
+// restoreOutage before. The operator and the servers then write again what they
+// had written.
 func (s *soak) restoreStore(ctx context.Context, d time.Duration) {
-	copied := s.store.Backup()
+	backup := s.store.Backup()
 	bronzeretry.Pause(ctx, d)
 	s.storeDisturbance.extend(time.Now().Add(restoreOutage))
 	s.network.update(func() { s.network.storeOutages = append(s.network.storeOutages, Reset) })
 	bronzeretry.Pause(ctx, restoreOutage)
-	s.store.Restore(copied)
+	s.store.Restore(backup)
 	s.network.update(func() { s.network.storeOutages = s.network.storeOutages[1:] })
 	bronzeretry.Pause(ctx, rewriteDelay)
 	s.eventsMu.Lock()
@@ -228,13 +238,13 @@
 	s.storeDisturbance.extend(time.Now())
 }
 
-// drainZone has a zone take no new flows for d.
+// drainZone drains a zone for d, unless one is drained already.
 func (s *soak) drainZone(ctx context.Context, zone string, d time.Duration) {
 	s.eventsMu.Lock()
-	free := s.zoneDrain.begin(zone)
+	ok := s.zoneDrain.begin(zone)
 	s.putDrains()
 	s.eventsMu.Unlock()
-	if !free {
+	if !ok {
 		return
 	}
 	bronzeretry.Pause(ctx, d)
@@ -244,7 +254,8 @@
 	s.putDrains()
 }
 
-// putDrains has the store have the drain that there is; the caller holds events.
+// putDrains writes to the store which zones are drained; the caller holds
+// eventsMu.
 func (s *soak) putDrains() {
 	for i := range s.plan.Zones {
 		zone := zoneName(i)
@@ -258,15 +269,15 @@
 	}
 }
 
-// drainedZone is the zone that is drained, if one is.
+// drainedZone is the zone that is drained, "" if none is, and since when.
 type drainedZone struct {
 	mu    sync.Mutex
 	zone  string
 	start time.Time
 }
 
-// begin drains a zone; free is false if one is drained already.
-func (d *drainedZone) begin(zone string) (free bool) {
+// begin marks a zone as drained; ok is false if one is drained already.
+func (d *drainedZone) begin(zone string) (ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.zone != "" {
@@ -282,7 +293,8 @@
 	d.zone = ""
 }
 
-// since returns when the drain of a zone began, the zero time if it isn't drained.
+// since returns when the drain of a zone began, the zero time if the zone is not
+// drained.
 func (d *drainedZone) since(zone string) (at time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -292,8 +304,8 @@
 	return d.start
 }
 
-// reregisterAll has all servers that are there write what the store may have lost. Registrations
-// of the others lapse.
+// reregisterAll writes the registrations of all registered servers, which the
+// store may have lost, and removes those of the others.
 func (s *soak) reregisterAll() {
 	s.registry.mu.Lock()
 	servers := maps.Clone(s.registry.servers)
@@ -309,8 +321,8 @@
 	}
 }
 
-// reregister writes a server's registration unless it is over; the caller holds the server's
-// lock.
+// reregister writes a server's registration unless the server is unregistered;
+// the caller holds the server's lock.
 func (s *soak) reregister(server *server) {
 	s.registry.mu.Lock()
 	defer s.registry.mu.Unlock()
@@ -319,6 +331,8 @@
 	}
 }
 
+// replaceServer starts a server, then drains an old one of the same pool and
+// zone for drainTime and stops it.
 func (s *soak) replaceServer(ctx context.Context, target int) {
 	old := s.takeServer(target)
 	s.addServer(ctx, old.pool, old.zone, netip.AddrPort{})
@@ -331,8 +345,8 @@
 	s.unregister(old)
 }
 
-// reuseAddress crashes a server; when its registration has lapsed one of the
-// other pool gets its address.
+// reuseAddress crashes a server and, when it has unregistered it, starts one of
+// the other pool at its address. Another server replaces it in its own pool.
 func (s *soak) reuseAddress(ctx context.Context, e *Event) {
 	old := s.takeServer(e.Target)
 	old.stop()
@@ -348,6 +362,7 @@
 	s.addServer(ctx, old.pool, old.zone, netip.AddrPort{})
 }
 
+// addRoute publishes a table with one route more.
 func (s *soak) addRoute() {
 	s.eventsMu.Lock()
 	defer s.eventsMu.Unlock()
@@ -363,7 +378,7 @@
 	s.tracker.mu.Unlock()
 }
 
-// removeRoute withdraws a route, but for the first ones.
+// removeRoute withdraws a random route other than the initial ones.
 func (s *soak) removeRoute() {
 	s.eventsMu.Lock()
 	defer s.eventsMu.Unlock()
@@ -377,7 +392,7 @@
 	s.tracker.removeRoute(r.service, time.Now())
 }
 
-// surge adds as many callers again for d.
+// surge doubles the number of callers for d.
 func (s *soak) surge(ctx context.Context, d time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, d)
 	defer cancel()
--- a/bronzesoak/run.go
+++ b/bronzesoak/run.go
@@ -19,41 +19,43 @@
 )
 
 const (
-	// startupTime is how long nodes have before callers come.
+	// startupTime is how long nodes run before traffic begins.
 	startupTime = time.Second
-	// callerHostsPerZone is on how many addresses a zone's callers are.
+	// callerHostsPerZone is the number of addresses that callers of a zone share.
 	callerHostsPerZone = 3
-	// initialRoutes is how many routes there are at the start; they stay.
+	// initialRoutes is the number of routes at the start. They are never withdrawn.
 	initialRoutes = 4
-	// finalFrom and endTo bound the requests whose share must be served in the
-	// end, counted back from when callers stop.
+	// The final window, in which the share minFinalServed of requests must be
+	// served, begins finalFrom and ends finalTo seconds before callers stop.
 	finalFrom      = 4
 	finalTo        = 1
 	minFinalServed = 0.9
 )
 
-// ports are the ports of all nodes: the platform has the same on all VMs.
+// ports are the ports of nodes. As on the platform, all nodes use the same.
 type ports struct{ data, peer, ready, control uint16 }
 
-// Result is what a run showed.
+// Result is the outcome of a run.
 type Result struct {
-	Plan   Plan
-	Served int
-	Failed int
-	// Rejected were told by a server that it has no room.
+	Plan Plan
+	// Served, Failed and Rejected count requests. Rejected ones were refused by a
+	// server that had no room.
+	Served   int
+	Failed   int
 	Rejected int
-	// Stalls is how often the machine was too busy for what it was to do.
+	// Stalls is how often the machine was too busy to run this process in time.
 	Stalls int64
-	// Broken are the first promises that did not hold, BrokenTotal all.
+	// Broken lists the first violations, BrokenTotal counts all.
 	Broken      []Violation
 	BrokenTotal int
-	Seconds     []SecondStats
+	// Seconds has the requests by the second in which they began.
+	Seconds []SecondStats
 }
 
 func (p *Plan) length() time.Duration { return time.Duration(p.Seconds * float64(time.Second)) }
 
-// Run plays a plan. An error is one of the soak itself; promises that did not
-// hold are in the result.
+// Run executes a plan. An error is one of the soak itself; violations of
+// invariants are in the result.
 func Run(ctx context.Context, plan Plan, opts Options) (result Result, err error) {
 	defer func() { err = errors.Wrapf(err, "soak with seed %d", plan.Seed) }()
 	if err = plan.Check(); err != nil {
@@ -75,7 +77,7 @@
 	return s.result(), s.failure
 }
 
-// build opens all addresses, and fills the store.
+// build opens the sockets of all stand-ins and proxies, and fills the store.
 func (s *soak) build(ctx context.Context) (err error) {
 	if err = s.choosePorts(); err != nil {
 		return err
@@ -113,13 +115,15 @@
 
 func zoneName(i int) string { return fmt.Sprintf("zone-%d", i) }
 
-// address returns an address of this run: of a kind of things, by its index.
+// address returns the address of the i-th component of a kind: 1 for nodes, 2
+// for servers, 3 for hosts of callers, 4 for nodes' public peer addresses, 5 for
+// the store, 6 for the check of choosePorts, 7 for nodes' store proxies.
 func (s *soak) address(kind byte, i int, port uint16) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, s.subnet, kind, byte(i + 1)}), port)
 }
 
-// choosePorts picks a net of loopback addresses that nobody uses, and ports that
-// are free there.
+// choosePorts chooses a random subnet of loopback addresses and ports that are
+// free in it.
 func (s *soak) choosePorts() (err error) {
 	for range 20 {
 		s.subnet = byte(10 + rand.IntN(240))
@@ -144,7 +148,7 @@
 			return probe.Close()
 		}
 	}
-	return errors.New("no free addresses")
+	return errors.New("no loopback subnet with free ports found")
 }
 
 func port(a net.Addr) uint16 { return netip.MustParseAddrPort(a.String()).Port() }
@@ -180,7 +184,7 @@
 	go (&storeProxy{network: s.network, node: name, store: store, listener: proxy}).run(ctx)
 	go (&datagramProxy{conn: public, network: s.network, deliver: func(from string, b []byte) {
 		if s.network.deliversToPeer(from, name) {
-			// Datagrams may be lost.
+			// Errors are ignored, as datagrams may be lost.
 			_, _ = public.WriteToUDPAddrPort(b, n.cfg.PeerAddress)
 		}
 	}}).run(ctx)
@@ -199,7 +203,8 @@
 	return nil
 }
 
-// addServer starts a server and registers it, at an address or any.
+// addServer starts a server at the given address, or at one of its own if the
+// address is invalid, and registers it.
 func (s *soak) addServer(ctx context.Context, pool, zone string, address netip.AddrPort) {
 	s.mu.Lock()
 	i := s.serverCount
@@ -210,7 +215,7 @@
 	}
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
 	if err != nil {
-		s.fail(errors.Wrap(err, "add a server"))
+		s.fail(errors.Wrap(err, "add server"))
 		return
 	}
 	server := &server{soak: s, pool: pool, zone: zone, conn: conn, flows: map[flowKey]*serverFlow{}}
@@ -223,7 +228,8 @@
 	s.mu.Unlock()
 }
 
-// startAll starts all nodes and gives them time to know everything.
+// startAll starts all nodes and waits for startupTime, so that they can learn the
+// routes and the servers.
 func (s *soak) startAll(ctx context.Context) (err error) {
 	for _, n := range s.nodes {
 		n.disturb(0, false)
@@ -237,13 +243,13 @@
 	return nil
 }
 
-// execute has callers come and does what the plan says.
+// execute starts callers and applies the events of the plan in time.
 func (s *soak) execute(ctx context.Context) {
 	s.violations.start, s.counts.start = time.Now(), time.Now()
 	ctx, cancel := context.WithTimeout(ctx, s.plan.length())
 	defer cancel()
 	s.startCallers(ctx)
-	go s.probe(ctx, s.callerHosts[0])
+	go s.probeRoutes(ctx, s.callerHosts[0])
 	go s.detectStalls(ctx)
 	var over sync.WaitGroup
 	for i := range s.plan.Events {
@@ -258,20 +264,20 @@
 	over.Wait()
 }
 
-// A machine that is too busy holds everything up, which is no fault of nodes. It
-// counts as held up where a timer of stallTick is late by stallThreshold.
+// A busy machine delays all processes, which is no fault of nodes. It is stalled
+// when a timer of stallTick is late by stallThreshold or more.
 const (
 	stallTick      = 20 * time.Millisecond
 	stallThreshold = 100 * time.Millisecond
 )
 
-// detectStalls notes when the machine holds this process up, until ctx is done.
-// All that is under test counts as disturbed then, and the result says how often.
+// detectStalls counts stalls of the machine until ctx is done. With each, all
+// nodes, servers and the store count as disturbed.
 func (s *soak) detectStalls(ctx context.Context) {
 	for ctx.Err() == nil {
-		begun := time.Now()
+		start := time.Now()
 		bronzeretry.Pause(ctx, stallTick)
-		if late := time.Since(begun) - stallTick; late < stallThreshold {
+		if late := time.Since(start) - stallTick; late < stallThreshold {
 			continue
 		}
 		s.stalls.Add(1)
@@ -285,7 +291,7 @@
 	}
 }
 
-// startCallers has startCallers make requests until ctx is done.
+// startCallers starts the plan's callers, which make requests until ctx is done.
 func (s *soak) startCallers(ctx context.Context) {
 	pause := time.Duration(s.plan.PauseMS) * time.Millisecond
 	for i := range s.plan.Callers {
@@ -294,7 +300,7 @@
 	}
 }
 
-// randomRoute returns one of the routes in force.
+// randomRoute returns an active route at random; ok is false if there is none.
 func (s *soak) randomRoute() (r route, ok bool) {
 	routes := s.tracker.activeRoutes()
 	if len(routes) == 0 {
@@ -303,7 +309,7 @@
 	return routes[rand.IntN(len(routes))], true
 }
 
-// stopNodes ends all nodes, and waits for them.
+// stopNodes tells all nodes to leave and waits until they have exited.
 func (s *soak) stopNodes() {
 	var over sync.WaitGroup
 	for _, n := range s.nodes {
@@ -315,7 +321,7 @@
 	over.Wait()
 }
 
-// result returns what the run showed.
+// result sums up the run, and checks Unserved unless the machine stalled.
 func (s *soak) result() (r Result) {
 	r = Result{Plan: s.plan, Stalls: s.stalls.Load(), Seconds: s.counts.list()}
 	all := sum(r.Seconds)
--- a/bronzesoak/soak.go
+++ b/bronzesoak/soak.go
@@ -13,27 +13,29 @@
 	"bronzeusher.example/bronzeusher/platform/standin"
 )
 
-// Options are what a run needs beside its plan.
+// Options are the settings of a run besides its plan.
 type Options struct {
-	// Program is the program under test. It is started with --settings.
+	// Program is the path of the program under test. It is started with
+	// --settings.
 	Program string
-	// Dir keeps nodes' settings and logs; it must be there.
+	// Dir is the directory for the settings and logs of nodes; it must exist.
 	Dir string
 }
 
-// The pools of a run. Routes to the first may be repeated or not, by turns.
+// The pools of a run. Routes alternate between them.
 var pools = []string{"live", "archive"}
 
-// soak is one run.
+// soak is the state of one run.
 type soak struct {
 	plan    Plan
 	program string
 	dir     string
 	ports   ports
-	subnet  byte // the second number of all addresses
+	subnet  byte // the second octet of all loopback addresses
 	network *network
 	store   *standin.Store
-	// storeDisturbance is since when the store has been left alone.
+	// storeDisturbance is that of the store as a whole; cuts of one node from the
+	// store are disturbances of the node.
 	storeDisturbance disturbance
 	tracker          *tracker
 	violations       violationLog
@@ -44,7 +46,7 @@
 
 	lastRequestID atomic.Uint64
 	stalls        atomic.Int64
-	tableVersion  uint64 // of the table; events alone use it, under events
+	tableVersion  uint64 // guarded by eventsMu
 	eventsMu      sync.Mutex
 	serverCount   int
 
@@ -56,7 +58,7 @@
 	failure error
 }
 
-// fail notes a fault of the soak itself.
+// fail records an error of the soak itself. Only the first is kept.
 func (s *soak) fail(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,7 +69,7 @@
 
 func (s *soak) requestID() uint64 { return s.lastRequestID.Add(1) }
 
-// node returns the node with a name, nil if there is none.
+// node returns the node with the given name, nil if there is none.
 func (s *soak) node(name string) *node {
 	for _, n := range s.nodes {
 		if n.name == name {
@@ -77,10 +79,10 @@
 	return nil
 }
 
-// nodeOf returns the node with an address, nil if there is none.
+// nodeOf returns the node with the given address, nil if there is none.
 func (s *soak) nodeOf(a netip.Addr) *node { return s.node(s.network.nodeAt(a)) }
 
-// callerZone returns the zone of a caller's address.
+// callerZone returns the zone of a caller's address, "" if it is unknown.
 func (s *soak) callerZone(a netip.Addr) string {
 	for _, h := range s.callerHosts {
 		if h.addr == a {
@@ -90,8 +92,10 @@
 	return ""
 }
 
-// checkReset checks the end of an open flow that its caller was told. Only its
-// server may end it, or a node if the server or the route is gone.
+// checkReset checks a reset that the caller of an open flow received. Only the
+// flow's server may send one, or a node if the server or the route is gone. A
+// reset by a node is no violation if the server was disturbed or the node had a
+// fault lately.
 func (s *soak) checkReset(f *callerFlow, a *receivedPacket) {
 	own := s.tracker.serverOf(f.key)
 	n := s.nodeOf(a.from)
@@ -106,12 +110,12 @@
 	}
 }
 
-// probe has callers ask nodes directly for endpoints that were just added, just
-// withdrawn, or never there, until ctx is done.
-func (s *soak) probe(ctx context.Context, h *callerHost) {
-	const every = 300 * time.Millisecond
+// probeRoutes opens a flow directly at one node after the other, on the active
+// route that was added last, until ctx is done.
+func (s *soak) probeRoutes(ctx context.Context, h *callerHost) {
+	const interval = 300 * time.Millisecond
 	for i := 0; ctx.Err() == nil; i++ {
-		bronzeretry.Pause(ctx, every)
+		bronzeretry.Pause(ctx, interval)
 		n := s.nodes[i%len(s.nodes)]
 		routes := s.tracker.activeRoutes()
 		if len(routes) == 0 || !s.router.ready(n) {
@@ -121,30 +125,30 @@
 	}
 }
 
-// probeRoute opens a flow to a route in force at a node. The node may have no
-// server to send it to, and may not know the route for a while, but must not
+// probeRoute opens a flow to an active route at a node. The node may have no
+// server for it and may take propagationTime to learn the route, but must not
 // forget it.
 func (s *soak) probeRoute(ctx context.Context, h *callerHost, n *node, r *route) {
-	begun, known := n.currentStart(), s.tracker.hasUsed(n.currentStart(), r.service)
-	late := time.Since(r.addedAt) > propagationTime && n.disturbance.settled() && s.storeDisturbance.settled() && s.poolSettled(r.pool)
+	start, used := n.currentStart(), s.tracker.hasUsed(n.currentStart(), r.service)
+	overdue := time.Since(r.addedAt) > propagationTime && n.disturbance.settled() && s.storeDisturbance.settled() && s.poolSettled(r.pool)
 	f := h.newFlow(r.service, n)
 	_, answered, a := f.connect(ctx)
 	f.close(true)
-	if !answered || !a.Reset || a.ChecksumValid || n.currentStart() != begun {
+	if !answered || !a.Reset || a.ChecksumValid || n.currentStart() != start {
 		return
 	}
 	if now, ok := s.tracker.route(r.service); !ok || !now.active() {
 		return
 	}
 	switch {
-	case known && s.poolSettled(r.pool):
+	case used && s.poolSettled(r.pool):
 		s.violations.add(WentBack, "%s has used %s and refuses it", n.name, r.service)
-	case late:
+	case overdue:
 		s.violations.add(OldTable, "%s refuses %s, added %v ago", n.name, r.service, time.Since(r.addedAt))
 	}
 }
 
-// poolSettled reports whether nothing was done to any server of a pool lately.
+// poolSettled reports whether all servers of a pool have settled.
 func (s *soak) poolSettled(pool string) bool {
 	for _, server := range s.serversOf(pool) {
 		if !server.disturbance.settled() {
@@ -154,7 +158,7 @@
 	return true
 }
 
-// serversOf returns the servers of a pool, or of all for "".
+// serversOf returns the servers of a pool, or all servers if pool is "".
 func (s *soak) serversOf(pool string) (list []*server) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -166,13 +170,14 @@
 	return list
 }
 
-// publish has the store take the routes in force in, with a new version.
+// publish writes the active routes to the store as a new version of the table;
+// the caller holds eventsMu.
 func (s *soak) publish() {
 	s.tableVersion += 3
 	s.putTable()
 }
 
-// putTable writes the table of the present version.
+// putTable writes the table of the current version to the store.
 func (s *soak) putTable() {
 	t := standin.Table{Version: s.tableVersion, IdleTimeout: time.Minute}
 	for i, r := range s.tracker.activeRoutes() {
