--- a/bronzesoak/caller.go
+++ b/bronzesoak/caller.go
@@ -14,19 +14,22 @@
 )
 
 const (
-	// connectTimeout is how long a caller waits for an acceptance, deadline for an
-	// answer, both from the first packet.
+	// connectTimeout is how long a caller waits for its flow to be accepted,
+	// requestTimeout for an answer, both from the first packet.
 	connectTimeout = 1400 * time.Millisecond
 	requestTimeout = 2500 * time.Millisecond
-	// retransmitDelay is after how long a packet is repeated first; the pause doubles.
+	// retransmitDelay is the delay before the first retransmission; it doubles
+	// with each.
 	retransmitDelay = 200 * time.Millisecond
-	// maxRequestsPerFlow is how many requests a flow has at most.
+	// maxRequestsPerFlow is the number of requests of a session, and therefore the
+	// most that a flow has.
 	maxRequestsPerFlow = 30
-	// resetWindow is how far a reset may be from what the caller acknowledged.
+	// resetWindow is how far the sequence number of a reset may be from what the
+	// caller has acknowledged, in bytes.
 	resetWindow = 76_800
 )
 
-// outcome is what became of a request.
+// outcome is the result of a request.
 type outcome int
 
 const (
@@ -35,7 +38,8 @@
 	rejected
 )
 
-// callerHost is the address of some callers, with one socket for all their flows.
+// callerHost is an address that several callers share, with one socket for all
+// their flows.
 type callerHost struct {
 	soak *soak
 	zone string
@@ -47,7 +51,7 @@
 	nextPort uint16
 }
 
-// run hands packets to the flows that they are for.
+// run dispatches received packets to their flows.
 func (h *callerHost) run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { _ = h.conn.Close() })
 	defer stop()
@@ -70,12 +74,12 @@
 		}
 		select {
 		case f.inbox <- receivedPacket{p, from.Addr().Unmap()}:
-		default: // as a full socket would
+		default: // dropped, as by a full socket buffer
 		}
 	}
 }
 
-// receivedPacket is a packet for a caller, and who sent it.
+// receivedPacket is a packet for a caller with its sender's address.
 type receivedPacket struct {
 	standin.Packet
 	from netip.Addr
@@ -86,7 +90,8 @@
 	host  *callerHost
 	key   flowKey
 	inbox chan receivedPacket
-	// via is the node that the flow's packets are sent to, nil to ask the router.
+	// via is the node that the flow's packets are sent to, or nil if the router
+	// chooses one for each packet.
 	via          *node
 	token        uint32
 	sequence     uint32
@@ -94,15 +99,15 @@
 	open         bool
 }
 
-// newFlow returns a flow from a port that isn't in use.
-func (h *callerHost) newFlow(service netip.AddrPort, at *node) *callerFlow {
+// newFlow returns a flow from an unused port.
+func (h *callerHost) newFlow(service netip.AddrPort, via *node) *callerFlow {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for h.nextPort == 0 || h.flows[h.nextPort] != nil {
 		h.nextPort = max(h.nextPort+1, 1024)
 	}
 	f := &callerFlow{
-		host: h, key: flowKey{netip.AddrPortFrom(h.addr, h.nextPort), service}, via: at,
+		host: h, key: flowKey{netip.AddrPortFrom(h.addr, h.nextPort), service}, via: via,
 		inbox: make(chan receivedPacket, 16), sequence: rand.Uint32(),
 	}
 	h.flows[h.nextPort] = f
@@ -110,9 +115,10 @@
 	return f
 }
 
-// close forgets the flow, and tells its server unless it has ended it.
-func (f *callerFlow) close(tell bool) {
-	if tell && f.open {
+// close forgets the flow. If notify is true it tells the server, provided that
+// the flow was open.
+func (f *callerFlow) close(notify bool) {
+	if notify && f.open {
 		f.send(standin.Packet{Final: true, Sequence: f.sequence, Acknowledged: f.acknowledged})
 	}
 	f.host.mu.Lock()
@@ -121,7 +127,7 @@
 	f.host.soak.tracker.recordClose(f.key, nil)
 }
 
-// send sends a packet by whichever node the router chooses.
+// send sends a packet to the flow's node, or to the one the router chooses.
 func (f *callerFlow) send(p standin.Packet) {
 	p.Source, p.Destination = f.key.caller, f.key.service
 	if !p.Open {
@@ -132,45 +138,47 @@
 		n = f.host.soak.router.pick(f.host.zone, f.key)
 	}
 	if n != nil {
-		// Datagrams may be lost.
+		// Errors are ignored, as datagrams may be lost.
 		_, _ = f.host.conn.WriteToUDPAddrPort(p.Bytes(), n.data)
 	}
 }
 
-// roundTrip sends a packet until it is answered, and returns the answer; ok is false
-// if there was none in time. The pauses between copies double.
-func (f *callerFlow) roundTrip(ctx context.Context, packet func(copied uint32) standin.Packet, limit time.Duration, most uint32, wanted func(*receivedPacket) bool) (a receivedPacket, ok bool) {
-	end := time.NewTimer(limit)
+// roundTrip sends a packet and returns the first received packet that matches;
+// ok is false if there is none before the timeout. The packet is retransmitted
+// up to maxRetransmits times; the pauses between retransmissions double.
+func (f *callerFlow) roundTrip(ctx context.Context, packet func(retransmits uint32) standin.Packet, timeout time.Duration, maxRetransmits uint32, matches func(*receivedPacket) bool) (a receivedPacket, ok bool) {
+	end := time.NewTimer(timeout)
 	defer end.Stop()
 	pause := retransmitDelay
-	again := time.NewTimer(pause)
-	defer again.Stop()
+	retransmit := time.NewTimer(pause)
+	defer retransmit.Stop()
 	f.send(packet(0))
-	for copied := uint32(1); ; {
+	for retransmits := uint32(1); ; {
 		select {
 		case <-ctx.Done():
 			return a, false
 		case <-end.C:
 			return a, false
-		case <-again.C:
-			if copied <= most {
-				f.send(packet(copied))
-				copied++
+		case <-retransmit.C:
+			if retransmits <= maxRetransmits {
+				f.send(packet(retransmits))
+				retransmits++
 			}
 			pause *= 2
-			again.Reset(pause)
+			retransmit.Reset(pause)
 		case a = <-f.inbox:
-			if wanted(&a) {
+			if matches(&a) {
 				return a, true
 			}
 		}
 	}
 }
 
-// connect opens the flow. answered says that somebody said something.
-func (f *callerFlow) connect(ctx context.Context) (opened, answered bool, by receivedPacket) {
-	a, ok := f.roundTrip(ctx, func(copied uint32) standin.Packet {
-		return standin.Packet{Open: true, Sequence: f.sequence, Acknowledged: copied}
+// connect opens the flow. answered is true if an acceptance or a reset was
+// received; reply is the packet.
+func (f *callerFlow) connect(ctx context.Context) (opened, answered bool, reply receivedPacket) {
+	a, ok := f.roundTrip(ctx, func(retransmits uint32) standin.Packet {
+		return standin.Packet{Open: true, Sequence: f.sequence, Acknowledged: retransmits}
 	}, connectTimeout, 2, func(a *receivedPacket) bool { return a.Reset || a.Accept && a.Acknowledged == f.sequence+1 })
 	if !ok || a.Reset {
 		return false, ok, a
@@ -182,8 +190,9 @@
 	return true, true, a
 }
 
-// request makes a request in the open flow. last says that the flow has ended.
-func (f *callerFlow) request(ctx context.Context, id uint64) (o outcome, last bool) {
+// request makes a request in the open flow. ended is true if the caller must not
+// use the flow any more.
+func (f *callerFlow) request(ctx context.Context, id uint64) (o outcome, ended bool) {
 	payload := append(binary.LittleEndian.AppendUint64(nil, id), 0)
 	a, ok := f.roundTrip(ctx, func(uint32) standin.Packet {
 		return standin.Packet{Sequence: f.sequence, Acknowledged: f.acknowledged, Payload: payload}
@@ -205,13 +214,15 @@
 	return served, a.Final
 }
 
-// isReset reports whether the caller takes a packet for the flow's end.
+// isReset reports whether the caller accepts a packet as a reset of the flow:
+// its sequence number must be within resetWindow.
 func (f *callerFlow) isReset(a *receivedPacket) bool {
 	off := int32(a.Sequence - f.acknowledged)
 	return a.Reset && off >= -resetWindow && off <= resetWindow
 }
 
-// isAnswer reports whether a packet isAnswer the request.
+// isAnswer reports whether a packet answers the request with the given ID. An
+// answer with an invalid checksum violates Altered.
 func (f *callerFlow) isAnswer(a *receivedPacket, id uint64) bool {
 	if a.Reset || a.Open || len(a.Payload) != requestSize {
 		return false
@@ -223,9 +234,8 @@
 	return binary.LittleEndian.Uint64(a.Payload) == id
 }
 
-// makeRequests makes requests until ctx is done: a flow for several, another one when it
-// has ended. A request that may be repeated is, twice; one that may not is only
-// if it can't have run.
+// makeRequests runs sessions until ctx is done, each for the route that pick
+// returns.
 func (h *callerHost) makeRequests(ctx context.Context, pick func() (route, bool), pause time.Duration) {
 	for ctx.Err() == nil {
 		r, ok := pick()
@@ -237,23 +247,27 @@
 	}
 }
 
+// session makes requests in one flow, or in a new one whenever it has ended. A
+// request has up to three attempts, which begin within requestTimeout. One that
+// is not idempotent is retried only if it cannot have run: its flow did not
+// open, or the server rejected it.
 func (h *callerHost) session(ctx context.Context, r route, pause time.Duration) {
 	var f *callerFlow
 	for range maxRequestsPerFlow {
 		if ctx.Err() != nil {
 			break
 		}
-		begun, id := time.Now(), h.soak.requestID()
+		start, id := time.Now(), h.soak.requestID()
 		o := failed
-		for tries := 0; tries < 3 && time.Since(begun) < requestTimeout && ctx.Err() == nil; tries++ {
-			var again bool
-			f, o, again = h.attempt(ctx, f, r, id)
-			if !again {
+		for attempts := 0; attempts < 3 && time.Since(start) < requestTimeout && ctx.Err() == nil; attempts++ {
+			var retry bool
+			f, o, retry = h.attempt(ctx, f, r, id)
+			if !retry {
 				break
 			}
 		}
 		if ctx.Err() == nil {
-			h.soak.counts.add(begun, time.Since(begun), o)
+			h.soak.counts.add(start, time.Since(start), o)
 		}
 		if now, ok := h.soak.tracker.route(r.service); !ok || !now.active() {
 			break
@@ -265,9 +279,10 @@
 	}
 }
 
-// attempt makes one try of a request, in flow f or a new one. It returns the flow
-// if it is still open.
-func (h *callerHost) attempt(ctx context.Context, f *callerFlow, r route, id uint64) (open *callerFlow, o outcome, again bool) {
+// attempt makes one attempt of a request, in flow f or in a new one if f is nil.
+// It returns the flow if it is still open, and whether the request may be
+// retried.
+func (h *callerHost) attempt(ctx context.Context, f *callerFlow, r route, id uint64) (open *callerFlow, o outcome, retry bool) {
 	if f == nil {
 		f = h.newFlow(r.service, nil)
 		if opened, _, _ := f.connect(ctx); !opened {
@@ -275,8 +290,8 @@
 			return nil, failed, true
 		}
 	}
-	o, last := f.request(ctx, id)
-	if last {
+	o, ended := f.request(ctx, id)
+	if ended {
 		f.close(o == failed)
 		f = nil
 	}
--- a/bronzesoak/counts.go
+++ b/bronzesoak/counts.go
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// SecondStats is what became of the requests that callers began in one second.
+// SecondStats counts the requests that callers began in one second, by outcome.
 type SecondStats struct {
 	Served   int
 	Failed   int
 	Rejected int
-	// WorstMS is the 99th percentile of the times of those served.
+	// WorstMS is the 99th percentile of the latencies of served requests in
+	// milliseconds.
 	WorstMS int64
 
 	latencies []time.Duration
@@ -19,14 +20,16 @@
 
 func (s *SecondStats) total() int { return s.Served + s.Failed + s.Rejected }
 
-// counts counts requests by the second in which they began.
+// counts holds the outcomes of requests by the second in which they began.
 type counts struct {
 	mu      sync.Mutex
 	start   time.Time
 	seconds []SecondStats
 }
 
-func (c *counts) add(at time.Time, took time.Duration, o outcome) {
+// add counts a request that began at a time. Requests before the start of
+// traffic are ignored.
+func (c *counts) add(at time.Time, latency time.Duration, o outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	i := int(at.Sub(c.start) / time.Second)
@@ -40,7 +43,7 @@
 	switch o {
 	case served:
 		s.Served++
-		s.latencies = append(s.latencies, took)
+		s.latencies = append(s.latencies, latency)
 	case rejected:
 		s.Rejected++
 	default:
@@ -48,9 +51,10 @@
 	}
 }
 
-// worstQuantile is the percentile of times that is reported.
+// worstQuantile is the quantile of latencies reported as WorstMS.
 const worstQuantile = 0.99
 
+// list returns the statistics of all seconds so far.
 func (c *counts) list() []SecondStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,7 +69,7 @@
 	return list
 }
 
-// sum adds seconds up.
+// sum adds up the counts of seconds; its WorstMS is the highest of theirs.
 func sum(seconds []SecondStats) (total SecondStats) {
 	for i := range seconds {
 		total.Served += seconds[i].Served
--- a/bronzesoak/report.go
+++ b/bronzesoak/report.go
@@ -15,7 +15,7 @@
 	"bronzeusher.example/bronzeusher/bronzereport"
 )
 
-// Table returns the results, one a row.
+// Table returns a table with one row per result.
 func Table(results []Result) *bronzereport.Table {
 	t := &bronzereport.Table{Head: []string{"seed", "nodes", "events", "served", "failed", "rejected", "99% of worst second, ms", "stalls", "broken promises"}}
 	for i := range results {
@@ -33,18 +33,18 @@
 	return t
 }
 
-// The size of a plot.
+// The size of a plot in its SVG file.
 const (
 	plotWidth  = 24 * vg.Centimeter
 	plotHeight = 8 * vg.Centimeter
 )
 
-// Plot draws the requests of each second of the first result, served and not,
-// with the events below.
+// Plot writes an SVG plot of the first result to the file path: requests that
+// were served or not by second, with marks at zero for the events.
 func Plot(path string, results []Result) (err error) {
 	defer func() { err = errors.Wrap(err, "plot") }()
 	if len(results) == 0 {
-		return errors.New("there is no result")
+		return errors.New("no results to plot")
 	}
 	r := &results[0]
 	p := plot.New()
