--- a/bronzesoak/network.go
+++ b/bronzesoak/network.go
@@ -12,22 +12,23 @@
 	"bronzeusher.example/bronzeusher/bronzeretry"
 )
 
-// network knows what reaches what. Zones are named; the store's is "".
+// network decides which packets are delivered and how connections to the store
+// fail.
 type network struct {
-	// random returns a number in [0,1), by which packets are lost.
+	// random returns a number in [0,1) that decides on packet loss.
 	random func() float64
 
 	mu            sync.Mutex
-	cut           map[string]int           // zones that are cut off, by how many events
-	lossy         map[string]int           // zones whose packets to others get lost
-	isolated      map[string]int           // nodes that are cut off from other nodes
-	storeFailures map[string][]FailureMode // how each node's connections to the store fail
-	storeOutages  []FailureMode            // how everybody's do
-	nodes         map[netip.Addr]string
-	zones         map[string]string // of the nodes
-	changed       chan struct{}     // closed when something changes
-	// silences counts how often each node's connections to the store went
-	// silent. Those that were open then stay so for good.
+	cut           map[string]int           // number of events that cut off each zone
+	lossy         map[string]int           // number of events that make each zone lossy
+	isolated      map[string]int           // number of events that cut off each node from its peers
+	storeFailures map[string][]FailureMode // failures of each node's connections to the store
+	storeOutages  []FailureMode            // failures of all nodes' connections to the store
+	nodes         map[netip.Addr]string    // names of nodes by address
+	zones         map[string]string        // zones of nodes by name
+	changed       chan struct{}            // closed at the next update
+	// silences counts the updates that left each node's connections to the store
+	// silent. Connections that were open at one stay silent for good.
 	silences map[string]int
 }
 
@@ -39,11 +40,11 @@
 	}
 }
 
-// update changes what reaches what.
-func (n *network) update(do func()) {
+// update calls change with the lock held and notifies those who wait for changed.
+func (n *network) update(change func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	do()
+	change()
 	for node := range n.zones {
 		if n.failureModeLocked(node) == Silent {
 			n.silences[node]++
@@ -53,14 +54,15 @@
 	n.changed = make(chan struct{})
 }
 
-// lossyZoneLoss is the part of packets that a lossy zone loses, backgroundLoss the part
-// that any network does, which is no excuse for anybody.
+// lossyZoneLoss is the share of packets lost between a lossy zone and others,
+// backgroundLoss the share lost everywhere. The latter is normal: it does not
+// count as a disturbance.
 const (
 	lossyZoneLoss  = 0.03
 	backgroundLoss = 0.003
 )
 
-// delivers reports whether a packet gets from one zone to another.
+// delivers reports whether a packet from one zone to another is delivered.
 func (n *network) delivers(from, to string) bool {
 	if n.random() < backgroundLoss {
 		return false
@@ -76,7 +78,8 @@
 	return n.lossy[from]+n.lossy[to] == 0 || n.random() >= lossyZoneLoss
 }
 
-// deliversToPeer reports whether a datagram of one node gets to another.
+// deliversToPeer reports whether a datagram from one node to another is
+// delivered.
 func (n *network) deliversToPeer(from, to string) bool {
 	n.mu.Lock()
 	cut := n.isolated[from] > 0 || n.isolated[to] > 0
@@ -85,7 +88,8 @@
 	return !cut && n.delivers(a, b)
 }
 
-// nodeAt returns the node with an address.
+// nodeAt returns the name of the node with the given address, "" if there is
+// none.
 func (n *network) nodeAt(a netip.Addr) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -93,14 +97,15 @@
 }
 
 // failureMode returns how a node's connections to the store fail now, "" if they
-// don't, and how often they went silent.
-func (n *network) failureMode(node string) (mode FailureMode, silenced int, changed <-chan struct{}) {
+// do not, its count of silences, and a channel that the next update closes.
+func (n *network) failureMode(node string) (mode FailureMode, silences int, changed <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.failureModeLocked(node), n.silences[node], n.changed
 }
 
-// failureModeLocked does the same; the caller holds the lock.
+// failureModeLocked returns how a node's connections to the store fail now; the
+// caller holds the lock.
 func (n *network) failureModeLocked(node string) FailureMode {
 	switch {
 	case n.cut[n.zones[node]] > 0:
@@ -114,7 +119,7 @@
 	}
 }
 
-// storeProxy stands between a node and the store.
+// storeProxy forwards a node's TCP connections to the store and has them fail.
 type storeProxy struct {
 	network  *network
 	node     string
@@ -122,7 +127,7 @@
 	listener net.Listener
 }
 
-// slowDelay is what a slow connection adds to each answer.
+// slowDelay is the delay of answers in the mode Slow.
 const slowDelay = 250 * time.Millisecond
 
 func (p *storeProxy) run(ctx context.Context) {
@@ -137,34 +142,34 @@
 	}
 }
 
-// serve carries one connection until an end closes it.
+// serve forwards one connection until either end closes it.
 func (p *storeProxy) serve(ctx context.Context, conn *net.TCPConn) {
 	defer func() { _ = conn.Close() }()
-	_, born, _ := p.network.failureMode(p.node)
+	_, silences, _ := p.network.failureMode(p.node)
 	var dialer net.Dialer
-	up, err := dialer.DialContext(ctx, "tcp", p.store)
+	upstream, err := dialer.DialContext(ctx, "tcp", p.store)
 	if err != nil {
 		return
 	}
-	defer func() { _ = up.Close() }()
-	stop := context.AfterFunc(ctx, func() { _ = conn.Close(); _ = up.Close() })
+	defer func() { _ = upstream.Close() }()
+	stop := context.AfterFunc(ctx, func() { _ = conn.Close(); _ = upstream.Close() })
 	defer stop()
-	go p.resetOnFailure(ctx, conn, up)
+	go p.resetOnFailure(ctx, conn, upstream)
 	go func() {
-		p.forward(ctx, up, conn, born, false)
-		_ = up.Close()
+		p.forward(ctx, upstream, conn, silences, false)
+		_ = upstream.Close()
 	}()
-	p.forward(ctx, conn, up, born, true)
+	p.forward(ctx, conn, upstream, silences, true)
 }
 
-// resetOnFailure resets the connection when the link's mode says so.
-func (p *storeProxy) resetOnFailure(ctx context.Context, conn *net.TCPConn, up net.Conn) {
+// resetOnFailure resets the connection once the failure mode is Reset.
+func (p *storeProxy) resetOnFailure(ctx context.Context, conn *net.TCPConn, upstream net.Conn) {
 	for ctx.Err() == nil {
 		mode, _, changed := p.network.failureMode(p.node)
 		if mode == Reset {
 			_ = conn.SetLinger(0)
 			_ = conn.Close()
-			_ = up.Close()
+			_ = upstream.Close()
 			return
 		}
 		select {
@@ -174,14 +179,14 @@
 	}
 }
 
-// forward copies from src to dst as far as the link's mode lets it. born is how
-// often the link had gone silent when the connection was opened; answers says
-// that what is copied is the store's.
-func (p *storeProxy) forward(ctx context.Context, dst io.Writer, src io.Reader, born int, answers bool) {
+// forward copies from src to dst as far as the failure mode permits. silences is
+// the count of silences when the connection was opened; answers is true in the
+// direction from the store to the node.
+func (p *storeProxy) forward(ctx context.Context, dst io.Writer, src io.Reader, silences int, answers bool) {
 	b := make([]byte, 32<<10)
 	for {
 		n, err := src.Read(b)
-		if n > 0 && p.mayForward(ctx, born, answers) {
+		if n > 0 && p.mayForward(ctx, silences, answers) {
 			if _, err := dst.Write(b[:n]); err != nil {
 				return
 			}
@@ -192,12 +197,13 @@
 	}
 }
 
-// mayForward waits until what was read may be passed on. A silent link keeps it for
-// good: its connection stays open and carries nothing more.
-func (p *storeProxy) mayForward(ctx context.Context, born int, answers bool) bool {
-	mode, silenced, _ := p.network.failureMode(p.node)
+// mayForward reports whether data may be forwarded, after a delay if answers are
+// slow. If the connection is silent or its answers are lost it blocks until ctx
+// is done, so that the connection stays open and carries nothing more.
+func (p *storeProxy) mayForward(ctx context.Context, silences int, answers bool) bool {
+	mode, current, _ := p.network.failureMode(p.node)
 	switch {
-	case mode == Silent, silenced != born, mode == AnswersLost && answers:
+	case mode == Silent, current != silences, mode == AnswersLost && answers:
 		<-ctx.Done()
 		return false
 	case mode == Slow && answers:
@@ -206,10 +212,11 @@
 	return ctx.Err() == nil
 }
 
-// datagramProxy passes datagrams from nodes on.
+// datagramProxy receives the datagrams that nodes send to an address.
 type datagramProxy struct {
 	conn *net.UDPConn
-	// deliver takes a datagram of a node.
+	// deliver is called with each datagram and the name of the node that sent it,
+	// "" if the sender is no node.
 	deliver func(from string, b []byte)
 	network *network
 }
--- a/bronzesoak/node.go
+++ b/bronzesoak/node.go
@@ -18,40 +18,40 @@
 )
 
 const (
-	// leaveGrace is how long nodes are given to leave, lateBy how much longer they
-	// may take on a busy machine before that is a fault.
+	// leaveGrace is the time that nodes are given to leave, leaveTolerance how much
+	// longer they may take on a busy machine before LeftLate is violated.
 	leaveGrace     = 4 * time.Second
 	leaveTolerance = 2 * time.Second
-	// restartDelay is how long a process that ended takes to be started again.
+	// restartDelay is the time from a process leaving until its restart.
 	restartDelay = 200 * time.Millisecond
 )
 
-// node is a process of the program under test, with its addresses.
+// node is a node under test: its addresses, settings and current process.
 type node struct {
 	soak *soak
 	name string
 	zone string
 	data netip.AddrPort
 	cfg  bronzeedge.Config
-	// disturbance is since when nothing at all was done to it, unharmed since when
-	// nothing but planned work.
+	// disturbance covers all events that affect the node, faults all but planned
+	// restarts.
 	disturbance disturbance
 	faults      disturbance
 
 	mu     sync.Mutex
 	cmd    *exec.Cmd
-	exited chan struct{} // closed when cmd has
+	exited chan struct{} // closed when cmd has exited
 	starts int
-	// leavingSince is when the process was told to leave and ran, the zero time if it
-	// wasn't told.
+	// leavingSince is when the process was told to leave, or when it resumed if it
+	// was paused then; zero if it was not told.
 	leavingSince time.Time
-	// exitExpected says that the process is to end, so that its exit is no fault.
+	// exitExpected is true if the process was killed or told to leave.
 	exitExpected bool
 }
 
 func (n *node) settingsPath() string { return filepath.Join(n.soak.dir, n.name+".json") }
 
-// writeSettings writes the node's settings, all at once.
+// writeSettings replaces the node's settings file atomically.
 func (n *node) writeSettings() (err error) {
 	b, err := json.Marshal(n.cfg)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return os.Rename(n.settingsPath()+".new", n.settingsPath())
 }
 
-// start starts the process, if it doesn't run.
+// start starts the process unless it is running or ctx is done.
 func (n *node) start(ctx context.Context) (err error) {
 	defer func() { err = errors.Wrap(err, "start "+n.name) }()
 	n.mu.Lock()
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// wait waits for the process's end and notes it.
+// wait waits until the process has exited. An unexpected exit violates Exited.
 func (n *node) wait(cmd *exec.Cmd, exited chan struct{}, log *os.File) {
 	err := cmd.Wait()
 	_ = log.Close()
@@ -104,8 +104,8 @@
 	close(exited)
 }
 
-// signal sends a signal to the process, if it runs, and returns what is closed
-// at its end.
+// signal sends a signal to the process and returns a channel that is closed when
+// it has exited, nil if it is not running.
 func (n *node) signal(sig syscall.Signal) (exited <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -118,7 +118,7 @@
 	case syscall.SIGKILL:
 		n.exitExpected = true
 	case syscall.SIGCONT:
-		// A process that was stopped when it was told to leave hears it only now.
+		// A paused process receives SIGTERM only when it resumes.
 		if !n.leavingSince.IsZero() {
 			n.leavingSince = time.Now()
 		}
@@ -129,14 +129,15 @@
 	return n.exited
 }
 
-// currentStart returns which start of the node runs.
+// currentStart returns the last start of the node.
 func (n *node) currentStart() nodeStart {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return nodeStart{n.name, n.starts}
 }
 
-// leavingFor returns how long ago the process was told to leave, 0 if it wasn't.
+// leavingFor returns the time since leavingSince, 0 if the process was not told
+// to leave.
 func (n *node) leavingFor() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -146,7 +147,8 @@
 	return time.Since(n.leavingSince)
 }
 
-// disturb notes that something is done to the node for d.
+// disturb records that the node is disturbed for d, by a fault unless it is
+// planned.
 func (n *node) disturb(d time.Duration, planned bool) {
 	until := time.Now().Add(d)
 	n.disturbance.extend(until)
@@ -155,7 +157,7 @@
 	}
 }
 
-// kill kills the process and starts it again after d.
+// kill kills the process and restarts it after d.
 func (n *node) kill(ctx context.Context, d time.Duration) {
 	n.disturb(d+restartDelay, false)
 	exited := n.signal(syscall.SIGKILL)
@@ -169,7 +171,8 @@
 	}
 }
 
-// leave has the process end by itself.
+// leave tells the process to leave and waits until it has exited. It kills a
+// process that has not after leaveGrace and leaveTolerance.
 func (n *node) leave() {
 	n.disturb(leaveGrace, true)
 	exited := n.signal(syscall.SIGTERM)
@@ -190,7 +193,7 @@
 	}
 }
 
-// restart has the process leave and starts it again.
+// restart has the process leave and starts it again after restartDelay.
 func (n *node) restart(ctx context.Context) {
 	n.leave()
 	bronzeretry.Pause(ctx, restartDelay)
@@ -200,7 +203,7 @@
 	}
 }
 
-// pause stops the process for d.
+// pause suspends the process for d.
 func (n *node) pause(ctx context.Context, d time.Duration) {
 	n.disturb(d, false)
 	n.signal(syscall.SIGSTOP)
@@ -209,7 +212,7 @@
 	n.signal(syscall.SIGCONT)
 }
 
-// reload changes the settings and says so.
+// reload writes changed settings and has the process reload them by SIGHUP.
 func (n *node) reload() {
 	n.mu.Lock()
 	n.cfg.QuietSeconds += 0.001
--- a/bronzesoak/router.go
+++ b/bronzesoak/router.go
@@ -14,15 +14,17 @@
 
 const (
 	probeInterval = 500 * time.Millisecond
-	// maxMisses is how many answers in a row a node misses until it is left out.
+	// maxMisses is the number of consecutive failed probes that takes a node out of
+	// rotation.
 	maxMisses = 2
-	// unreadyDeadline is how long after it was told to leave a node must not say any
-	// more that it is ready.
+	// unreadyDeadline is the time after which a node that was told to leave must no
+	// longer report that it is ready.
 	unreadyDeadline = time.Second
 )
 
-// router is a stand-in of the platform's routers: it sends each flow to a node
-// of the caller's zone, and only the flows of a node move when that node goes.
+// router is a stand-in of the platform's routers. It sends each flow to a node of
+// the caller's zone by rendezvous hashing, so that only the flows of a node move
+// when the node goes out of rotation.
 type router struct {
 	soak  *soak
 	nodes []*node
@@ -31,17 +33,18 @@
 	misses map[*node]int
 }
 
-// probe asks a node whether it is ready until ctx is done.
-func (r *router) probe(ctx context.Context, n *node) {
+// probeReadiness asks a node every probeInterval whether it is ready, until ctx
+// is done.
+func (r *router) probeReadiness(ctx context.Context, n *node) {
 	client := &http.Client{Timeout: probeInterval, Transport: &http.Transport{DisableKeepAlives: true}}
 	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
 	for {
-		begun, leaving := n.currentStart(), n.leavingFor()
+		start, leaving := n.currentStart(), n.leavingFor()
 		status := getStatus(ctx, client, "http://"+n.cfg.ReadyAddress.String()+standin.ReadyPath)
 		r.recordProbe(n, status == http.StatusOK)
 		leaving = min(leaving, n.leavingFor())
-		if status == http.StatusOK && leaving >= unreadyDeadline && n.currentStart() == begun {
+		if status == http.StatusOK && leaving >= unreadyDeadline && n.currentStart() == start {
 			r.soak.violations.add(ReadyAgain, "%s is ready though it leaves, for %v", n.name, leaving)
 		}
 		select {
@@ -52,7 +55,7 @@
 	}
 }
 
-// getStatus returns the status of an answer, 0 if there is none.
+// getStatus returns the HTTP status of a GET request, 0 if it fails.
 func getStatus(ctx context.Context, client *http.Client, url string) int {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, http.NoBody)
 	if err != nil {
@@ -79,34 +82,36 @@
 	r.misses[n]++
 }
 
-// ready reports whether a node is in rotation.
+// ready reports whether a node is in rotation: it failed fewer than maxMisses
+// consecutive probes.
 func (r *router) ready(n *node) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.misses[n] < maxMisses
 }
 
-// pick returns the node that a flow's packets go to now.
+// pick returns the node to which the packets of a flow go now, nil if the zone has
+// none. If fewer than half of the zone's nodes are ready, it picks from all.
 func (r *router) pick(zone string, key flowKey) *node {
-	var all, in []*node
+	var all, candidates []*node
 	for _, n := range r.nodes {
 		if n.zone != zone {
 			continue
 		}
 		all = append(all, n)
 		if r.ready(n) {
-			in = append(in, n)
+			candidates = append(candidates, n)
 		}
 	}
-	if 2*len(in) < len(all) {
-		in = all
+	if 2*len(candidates) < len(all) {
+		candidates = all
 	}
 	var best *node
-	most := uint64(0)
-	for _, n := range in {
+	highest := uint64(0)
+	for _, n := range candidates {
 		h := xxhash.Sum64String(n.name + key.caller.String() + key.service.String())
-		if best == nil || h > most {
-			best, most = n, h
+		if best == nil || h > highest {
+			best, highest = n, h
 		}
 	}
 	return best
--- a/bronzesoak/run.go
+++ b/bronzesoak/run.go
@@ -236,7 +236,7 @@
 		if err = n.start(ctx); err != nil {
 			return err
 		}
-		go s.router.probe(ctx, n)
+		go s.router.probeReadiness(ctx, n)
 	}
 	s.storeDisturbance.extend(time.Now())
 	bronzeretry.Pause(ctx, startupTime)
--- a/bronzesoak/server.go
+++ b/bronzesoak/server.go
@@ -15,28 +15,30 @@
 const (
 	serverSlots = 3
 	serverQueue = 8
-	// drainTime is how long a server goes on after it said that it drains.
+	// drainTime is how long a server runs on after it registered as draining.
 	drainTime = 6 * time.Second
-	// requestSize is the length of a request: its number, and whether it may be
-	// repeated.
+	// requestSize is the length of a request or an answer in bytes: the request's
+	// ID and one more byte, which in an answer is answerDone or answerFull.
 	requestSize = 9
 )
 
-// What an answer says of its request.
+// The outcome that an answer gives: the request was run, or there was no room.
 const (
 	answerDone byte = iota
 	answerFull
 )
 
-// server is a stand-in of a BackendServer.
+// server is a stand-in of a BackendServer that runs serverSlots requests at once,
+// queues serverQueue more and rejects others.
 type server struct {
 	soak *soak
 	name string
 	pool string
 	zone string
-	// incarnation is what packets to it carry, conn where it answers from, proxy the
-	// address that is registered.
+	// incarnation is the number that forwarded packets must carry.
 	incarnation uint64
+	// conn is the socket at the registered address. proxy reads packets from it,
+	// and answers are sent from it.
 	conn        *net.UDPConn
 	proxy       *datagramProxy
 	disturbance disturbance
@@ -44,7 +46,7 @@
 	mu    sync.Mutex
 	flows map[flowKey]*serverFlow
 	busy  int
-	// drainedAt is when the store took in that it drains.
+	// drainedAt is when the server registered as draining, zero if it has not.
 	drainedAt time.Time
 	stopped   bool
 }
@@ -54,23 +56,24 @@
 	acknowledged uint32 // of the caller's next byte
 	token        uint32
 	open         bool
-	answer       []byte // the last one, for repeated requests
+	answer       []byte // the last answer, for retransmitted requests
 }
 
-// receive takes a datagram that a node sent.
+// receive parses a datagram from a node and handles its packet if it is for this
+// server's incarnation.
 func (s *server) receive(from string, b []byte) {
 	n := s.soak.node(from)
 	if n == nil || !s.soak.network.delivers(n.zone, s.zone) {
 		return
 	}
-	number, p, err := standin.ParseForwarded(b)
+	incarnation, p, err := standin.ParseForwarded(b)
 	if err != nil || !p.ChecksumValid {
 		s.soak.violations.add(Altered, "server %s got %d bytes from %s: %v", s.name, len(b), from, err)
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.stopped || number != s.incarnation {
+	if s.stopped || incarnation != s.incarnation {
 		return
 	}
 	s.handle(n, &p)
@@ -100,7 +103,8 @@
 	}
 }
 
-// handleOpen answers an opening.
+// handleOpen accepts a flow. It answers a retransmitted opening packet as the
+// first.
 func (s *server) handleOpen(n *node, key flowKey, f *serverFlow, p *standin.Packet, r *route) {
 	s.checkNewFlow(n, r)
 	s.soak.tracker.recordUse(n.currentStart(), p.Destination)
@@ -115,14 +119,16 @@
 	})
 }
 
-// propagationTime is how long after a change a node may go by what was before, and
-// openRetransmitTime by how much later the last copy of an opening may come.
+// propagationTime is how long after a change a node may still apply the previous
+// state. openRetransmitTime is how much later the last retransmission of an
+// opening packet may arrive.
 const (
 	propagationTime    = 3 * time.Second
 	openRetransmitTime = 700 * time.Millisecond
 )
 
-// checkNewFlow checks that this server may have a new flow.
+// checkNewFlow checks that a node may send this server a new flow by a route, if
+// the node and the store have settled.
 func (s *server) checkNewFlow(n *node, r *route) {
 	if !n.disturbance.settled() || !s.soak.storeDisturbance.settled() {
 		return
@@ -142,7 +148,7 @@
 func (s *server) handleData(key flowKey, f *serverFlow, p *standin.Packet, r *route) {
 	if !f.open {
 		if p.Acknowledged != f.sequence+1 {
-			return // the caller goes on with another server's acceptance
+			return // the caller uses the acceptance of another server
 		}
 		f.open = true
 		f.sequence++
@@ -167,7 +173,7 @@
 	}
 }
 
-// handleRequest runs a handleRequest, or says that there is no room.
+// handleRequest runs a request, or rejects it if the queue is full.
 func (s *server) handleRequest(key flowKey, f *serverFlow, p *standin.Packet, r *route) {
 	id := binary.LittleEndian.Uint64(p.Payload)
 	if s.busy >= serverSlots+serverQueue {
@@ -190,7 +196,8 @@
 	})
 }
 
-// answer answers the flow's request; a server that drains ends the flow with it.
+// answer answers the flow's last request. A draining server closes the flow with
+// it.
 func (s *server) answer(key flowKey, f *serverFlow, id uint64, outcome byte) {
 	payload := binary.LittleEndian.AppendUint64(nil, id)
 	a := standin.Packet{
@@ -208,16 +215,16 @@
 
 func (s *server) send(p *standin.Packet) { s.sendBytes(p.Destination, p.Bytes()) }
 
-// sendBytes sends a packet to a caller.
+// sendBytes sends an encoded packet to a caller.
 func (s *server) sendBytes(to netip.AddrPort, b []byte) {
 	if !s.soak.network.delivers(s.zone, s.soak.callerZone(to.Addr())) {
 		return
 	}
-	// Datagrams may be lost.
+	// Errors are ignored, as datagrams may be lost.
 	_, _ = s.conn.WriteToUDPAddrPort(b, netip.AddrPortFrom(to.Addr(), s.soak.ports.data))
 }
 
-// registration is what the store has of the server.
+// registration returns the server's registration for the store.
 func (s *server) registration() standin.Server {
 	return standin.Server{
 		Name: s.name, Pool: s.pool, Address: s.proxy.conn.LocalAddr().(*net.UDPAddr).AddrPort(),
@@ -225,7 +232,7 @@
 	}
 }
 
-// stop ends the server without a word.
+// stop stops the server at once: it drops its flows and ignores packets.
 func (s *server) stop() {
 	s.mu.Lock()
 	s.stopped = true
@@ -235,8 +242,8 @@
 	s.soak.tracker.recordServerGone(s)
 }
 
-// serverName returns the name of the i-th server of a run.
-func serverName(i int) (name string, number uint64) {
-	number = 0x7f3a0000 + uint64(i)
-	return "i-" + strconv.FormatUint(number, 16), number
+// serverName returns the name and the incarnation of the i-th server of a run.
+func serverName(i int) (name string, incarnation uint64) {
+	incarnation = 0x7f3a0000 + uint64(i)
+	return "i-" + strconv.FormatUint(incarnation, 16), incarnation
 }
--- a/cmd/bronzesoak/main.go
+++ b/cmd/bronzesoak/main.go
@@ -1,12 +1,12 @@
-// Command bronzesoak does harm to real balancers between stand-ins of their
-// platform and checks what callers and BackendServers are promised (package
-// bronzesoak). It exits with 1 if a promise did not hold.
+// Command bronzesoak injects faults into real balancers between stand-ins of
+// their platform and checks the invariants of package bronzesoak. It exits with
+// status 1 if one was violated or the soak itself failed.
 //
-//	bronzesoak --from 1 --seeds 50 --seconds 20
+//	bronzesoak --from 1 --seeds 50 --length 20s
 //	bronzesoak --plan plan.json --json result.json --plot result.svg
 //
-// With --write-plan it writes the plan of a seed to a file, as a start for one
-// of one's own: rate, callers, sizes and events.
+// With --write-plan it writes the plan of the first seed to a file, as a starting
+// point for a custom plan, and runs nothing.
 package main
 
 import (
@@ -42,19 +42,20 @@
 
 func main() {
 	var f flags
-	kong.Parse(&f, kong.Name("bronzesoak"), kong.Description("Does harm to balancers and checks their promises."))
+	kong.Parse(&f, kong.Name("bronzesoak"), kong.Description("Injects faults into balancers and checks invariants."))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	held, err := run(ctx, &f)
+	ok, err := run(ctx, &f)
 	stop()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 	}
-	if err != nil || !held {
+	if err != nil || !ok {
 		os.Exit(1)
 	}
 }
 
-func run(ctx context.Context, f *flags) (held bool, err error) {
+// run executes the command; ok is false if an invariant was violated.
+func run(ctx context.Context, f *flags) (ok bool, err error) {
 	plans, err := f.plans()
 	if err != nil {
 		return false, err
@@ -72,19 +73,20 @@
 		}
 	}
 	var results []bronzesoak.Result
-	held = true
+	ok = true
 	for _, plan := range plans {
-		r, err := play(ctx, plan, f.Program, dir)
+		r, err := runPlan(ctx, plan, f.Program, dir)
 		if err != nil {
 			return false, err
 		}
 		results = append(results, r)
-		held = held && r.BrokenTotal == 0
+		ok = ok && r.BrokenTotal == 0
 	}
 	fmt.Print(bronzesoak.Table(results).Markdown())
-	return held, f.save(results)
+	return ok, f.save(results)
 }
 
+// plans returns the plans to run: the one given, or those of the seeds.
 func (f *flags) plans() (plans []bronzesoak.Plan, err error) {
 	if f.Plan != "" {
 		p, err := bronzesoak.ReadPlan(f.Plan)
@@ -96,6 +98,7 @@
 	return plans, nil
 }
 
+// directory returns the directory for logs and creates it if there is none.
 func (f *flags) directory() (dir string, err error) {
 	if f.Logs == "" {
 		return os.MkdirTemp("", "bronzesoak-")
@@ -111,8 +114,9 @@
 	return program, errors.Wrap(cmd.Run(), "build the program under test")
 }
 
-// play plays one plan and prints what was broken.
-func play(ctx context.Context, plan bronzesoak.Plan, program, dir string) (r bronzesoak.Result, err error) {
+// runPlan runs one plan and prints the violations. It removes the logs of a run
+// without any.
+func runPlan(ctx context.Context, plan bronzesoak.Plan, program, dir string) (r bronzesoak.Result, err error) {
 	logs := filepath.Join(dir, strconv.FormatUint(plan.Seed, 10))
 	if err = os.MkdirAll(logs, 0o700); err != nil {
 		return r, err
