--- a/cmd/bronzesoak/main.go
+++ b/cmd/bronzesoak/main.go
@@ -30,14 +30,14 @@
 // flags is the grammar of the command line.
 type flags struct {
 	From      uint64        `default:"1" help:"First seed."`
-	Seeds     int           `default:"1" help:"How many seeds to play."`
-	Length    time.Duration `default:"20s" help:"How long callers come in each."`
-	Plan      string        `help:"Play this plan (JSON) in place of seeds." type:"existingfile"`
-	WritePlan string        `help:"Write the plan of the first seed to this file, and play nothing."`
-	Program   string        `help:"The program under test; built from this module if left out." type:"existingfile"`
-	Logs      string        `help:"Keep the logs of nodes below this directory; a temporary one if left out."`
+	Seeds     int           `default:"1" help:"Number of consecutive seeds to run."`
+	Length    time.Duration `default:"20s" help:"Duration of traffic for each seed."`
+	Plan      string        `help:"Run this plan (JSON) instead of seeds." type:"existingfile"`
+	WritePlan string        `help:"Write the plan of the first seed to this file and run nothing."`
+	Program   string        `help:"The program under test; built from this module if omitted." type:"existingfile"`
+	Logs      string        `help:"Directory for logs of nodes; a temporary one if omitted. Logs of runs without violations are removed."`
 	JSON      string        `name:"json" help:"Write the results to this file."`
-	Plot      string        `help:"Draw the requests of each second into this file (SVG)."`
+	Plot      string        `help:"Plot the requests of each second of the first result to this file (SVG)."`
 }
 
 func main() {
