--- a/bronzesoak/check_test.go
+++ b/bronzesoak/check_test.go
@@ -21,9 +21,9 @@
 	caller       = netip.MustParseAddrPort("127.9.3.1:4000")
 )
 
-// newChecked returns a soak with a node and two servers of the live pool that
-// have all been left alone for long, and no sockets but the servers' own.
-func newChecked(t *testing.T) (s *soak, n *node, servers []*server) {
+// newTestSoak returns a soak with a node and two servers of the live pool. All
+// of them have settled, and only the servers have sockets.
+func newTestSoak(t *testing.T) (s *soak, n *node, servers []*server) {
 	s = &soak{network: newNetwork(), store: &standin.Store{}, tracker: newTracker()}
 	s.network.random = func() float64 { return 1 }
 	s.plan.WorkMS = 1
@@ -44,154 +44,155 @@
 	return s, n, servers
 }
 
-// broken returns the promises that were found broken.
-func (s *soak) broken() (list []Invariant) {
+// violated returns the invariants of all recorded violations.
+func (s *soak) violated() (list []Invariant) {
 	for _, b := range s.violations.list {
 		list = append(list, b.Promise)
 	}
 	return list
 }
 
-// opening and data are packets of the caller's flow.
-func opening(to netip.AddrPort) *standin.Packet {
+// openPacket and dataPacket return packets of the caller's flow.
+func openPacket(to netip.AddrPort) *standin.Packet {
 	return &standin.Packet{Source: caller, Destination: to, Open: true, Sequence: 99, ChecksumValid: true}
 }
 
-func data(s *server, to netip.AddrPort, payload []byte) *standin.Packet {
+func dataPacket(s *server, to netip.AddrPort, payload []byte) *standin.Packet {
 	f := s.flows[flowKey{caller, to}]
 	return &standin.Packet{
 		Source: caller, Destination: to, Sequence: f.acknowledged, Acknowledged: f.sequence + 1, Payload: payload, ChecksumValid: true,
 	}
 }
 
-// openAt opens the caller's flow at a server.
-func openAt(n *node, s *server) {
-	s.handle(n, opening(liveRoute))
-	s.handle(n, data(s, liveRoute, nil))
+// openFlowAt opens the caller's flow at a server.
+func openFlowAt(n *node, s *server) {
+	s.handle(n, openPacket(liveRoute))
+	s.handle(n, dataPacket(s, liveRoute, nil))
 }
 
-func TestServerOfAnotherPool(t *testing.T) {
-	s, n, servers := newChecked(t)
-	servers[0].handle(n, opening(archiveRoute))
-	servers[0].handle(n, opening(netip.MustParseAddrPort("198.18.0.9:443")))
-	require.Equal(t, []Invariant{Misrouted, Misrouted}, s.broken())
+func TestMisroutedPacket(t *testing.T) {
+	s, n, servers := newTestSoak(t)
+	servers[0].handle(n, openPacket(archiveRoute))
+	servers[0].handle(n, openPacket(netip.MustParseAddrPort("198.18.0.9:443")))
+	require.Equal(t, []Invariant{Misrouted, Misrouted}, s.violated())
 }
 
 func TestAlteredPacket(t *testing.T) {
-	s, _, servers := newChecked(t)
-	b := opening(liveRoute).Bytes()
-	guarded := append(binary.BigEndian.AppendUint64(nil, servers[0].incarnation), b...)
-	guarded[8+4]++ // the sequence number
-	servers[0].receive("node-0", guarded)
-	require.Equal(t, []Invariant{Altered}, s.broken())
-	guarded[8+4]--
-	guarded[8]++ // the token, which nodes write
-	servers[0].receive("node-0", guarded)
-	require.Len(t, s.broken(), 1)
+	s, _, servers := newTestSoak(t)
+	b := openPacket(liveRoute).Bytes()
+	datagram := append(binary.BigEndian.AppendUint64(nil, servers[0].incarnation), b...)
+	datagram[8+4]++ // the sequence number
+	servers[0].receive("node-0", datagram)
+	require.Equal(t, []Invariant{Altered}, s.violated())
+	datagram[8+4]--
+	datagram[8]++ // the token, which nodes write
+	servers[0].receive("node-0", datagram)
+	require.Len(t, s.violated(), 1)
 	require.Len(t, servers[0].flows, 1)
 }
 
-// A node ends a flow whose server is there. It counts unless the server or the
-// node was harmed within settled, or the route is gone.
-func TestResetOfAnOpenFlow(t *testing.T) {
+// A reset of an open flow by a node is a violation unless the server was
+// disturbed or the node had a fault within settleTime, or the route is withdrawn.
+func TestBrokenFlow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, n, servers := newChecked(t)
-		openAt(n, servers[0])
+		s, n, servers := newTestSoak(t)
+		openFlowAt(n, servers[0])
 		f := &callerFlow{key: flowKey{caller, liveRoute}}
 		reset := receivedPacket{Packet: standin.Packet{Reset: true}, from: netip.MustParseAddr("127.9.1.1")}
 		own := reset
 		own.ChecksumValid = true
 		s.checkReset(f, &own)
-		require.Empty(t, s.broken(), "the server itself")
+		require.Empty(t, s.violated(), "reset by the server itself")
 
 		n.disturb(0, false)
 		s.checkReset(f, &reset)
 		time.Sleep(settleTime)
 		servers[0].disturbance.extend(time.Now())
 		s.checkReset(f, &reset)
-		require.Empty(t, s.broken(), "after harm")
+		require.Empty(t, s.violated(), "recent disturbance of the node or the server")
 
 		time.Sleep(settleTime)
 		n.disturb(0, true)
 		s.checkReset(f, &reset)
-		require.Equal(t, []Invariant{BrokenFlow}, s.broken(), "planned work is no excuse")
+		require.Equal(t, []Invariant{BrokenFlow}, s.violated(), "only planned events at the node")
 
 		s.tracker.removeRoute(liveRoute, time.Now())
 		s.checkReset(f, &reset)
-		require.Len(t, s.broken(), 1, "the route is gone")
+		require.Len(t, s.violated(), 1, "route withdrawn")
 	})
 }
 
-func TestPacketsThatStray(t *testing.T) {
+func TestStrayedPackets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, n, servers := newChecked(t)
-		openAt(n, servers[0])
+		s, n, servers := newTestSoak(t)
+		openFlowAt(n, servers[0])
 		stray := &standin.Packet{Source: caller, Destination: liveRoute, ChecksumValid: true}
 		time.Sleep(strayTimeout)
 		for range minStrays - 1 {
 			servers[1].handle(n, stray)
 		}
-		require.Empty(t, s.broken())
+		require.Empty(t, s.violated())
 		servers[1].handle(n, stray)
-		require.Equal(t, []Invariant{Strayed}, s.broken())
-		servers[0].handle(n, data(servers[0], liveRoute, nil))
+		require.Equal(t, []Invariant{Strayed}, s.violated())
+		servers[0].handle(n, dataPacket(servers[0], liveRoute, nil))
 		servers[1].handle(n, stray)
-		require.Len(t, s.broken(), 1)
+		require.Len(t, s.violated(), 1)
 	})
 }
 
-func TestRequestThatRunsTwice(t *testing.T) {
-	s, n, servers := newChecked(t)
+func TestRequestRunTwice(t *testing.T) {
+	s, n, servers := newTestSoak(t)
 	request := append(binary.LittleEndian.AppendUint64(nil, 42), 0)
 	for i, server := range servers {
-		server.handle(n, opening(liveRoute))
-		server.handle(n, data(server, liveRoute, request))
-		require.Len(t, s.broken(), i)
+		server.handle(n, openPacket(liveRoute))
+		server.handle(n, dataPacket(server, liveRoute, request))
+		require.Len(t, s.violated(), i)
 	}
-	require.Equal(t, []Invariant{RanTwice}, s.broken())
+	require.Equal(t, []Invariant{RanTwice}, s.violated())
 }
 
-// New flows on a draining server, or by a withdrawn route, count from three
-// seconds on.
-func TestOpeningsThatComeTooLate(t *testing.T) {
+// New flows on a draining server or by a withdrawn route are violations once
+// propagationTime and openRetransmitTime have passed.
+func TestNewFlowTooLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, n, servers := newChecked(t)
+		s, n, servers := newTestSoak(t)
 		servers[0].drainedAt = time.Now()
-		servers[0].handle(n, opening(liveRoute))
-		require.Empty(t, s.broken())
+		servers[0].handle(n, openPacket(liveRoute))
+		require.Empty(t, s.violated())
 		time.Sleep(propagationTime + openRetransmitTime + time.Millisecond)
-		servers[0].handle(n, opening(liveRoute))
-		require.Equal(t, []Invariant{NewOnDraining}, s.broken())
+		servers[0].handle(n, openPacket(liveRoute))
+		require.Equal(t, []Invariant{NewOnDraining}, s.violated())
 		s.tracker.removeRoute(liveRoute, time.Now())
 		time.Sleep(propagationTime + openRetransmitTime + time.Millisecond)
-		servers[1].handle(n, opening(liveRoute))
-		require.Equal(t, []Invariant{NewOnDraining, OldTable}, s.broken())
+		servers[1].handle(n, openPacket(liveRoute))
+		require.Equal(t, []Invariant{NewOnDraining, OldTable}, s.violated())
 		n.disturb(0, false)
-		servers[1].handle(n, opening(liveRoute))
-		require.Len(t, s.broken(), 2)
+		servers[1].handle(n, openPacket(liveRoute))
+		require.Len(t, s.violated(), 2)
 	})
 }
 
-// Guards against a soak that misses new flows in a drained zone.
-func TestOpeningsInADrainedZone(t *testing.T) {
+// New flows in a drained zone are violations once propagationTime and
+// openRetransmitTime have passed.
+func TestNewFlowInDrainedZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, n, servers := newChecked(t)
+		s, n, servers := newTestSoak(t)
 		require.True(t, s.zoneDrain.begin(servers[0].zone))
 		require.False(t, s.zoneDrain.begin("another"))
-		servers[0].handle(n, opening(liveRoute))
-		require.Empty(t, s.broken())
+		servers[0].handle(n, openPacket(liveRoute))
+		require.Empty(t, s.violated())
 		time.Sleep(propagationTime + openRetransmitTime + time.Millisecond)
-		servers[0].handle(n, opening(liveRoute))
-		require.Equal(t, []Invariant{NewInDrainedZone}, s.broken())
+		servers[0].handle(n, openPacket(liveRoute))
+		require.Equal(t, []Invariant{NewInDrainedZone}, s.violated())
 		s.zoneDrain.end()
-		servers[0].handle(n, opening(liveRoute))
-		require.Len(t, s.broken(), 1)
+		servers[0].handle(n, openPacket(liveRoute))
+		require.Len(t, s.violated(), 1)
 	})
 }
 
-func TestTooFewAreServedInTheEnd(t *testing.T) {
+func TestUnservedShare(t *testing.T) {
 	for _, served := range []int{89, 90} {
-		s, _, _ := newChecked(t)
+		s, _, _ := newTestSoak(t)
 		s.plan.Seconds = 10
 		s.counts.seconds = make([]SecondStats, 10)
 		s.counts.seconds[8] = SecondStats{Served: served, Failed: 100 - served}
@@ -200,11 +201,10 @@
 	}
 }
 
-// A node is stopped, told to leave, and goes on a second and a half later. It hears of
-// it only then, so the time until it must not be ready any more counts from there; one
-// that wasn't told doesn't leave by going on.
-func TestNodeThatWasStoppedIsToldToLeaveWhenItGoesOn(t *testing.T) {
-	_, n, _ := newChecked(t)
+// A paused process receives SIGTERM only when it resumes, so the time until it
+// must no longer be ready starts then. Resuming alone does not make it leave.
+func TestLeaveOfPausedNode(t *testing.T) {
+	_, n, _ := newTestSoak(t)
 	n.cmd = exec.Command("sleep", "60")
 	require.NoError(t, n.cmd.Start())
 	t.Cleanup(func() {
--- a/bronzesoak/network_test.go
+++ b/bronzesoak/network_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestWhatACutLetsThrough(t *testing.T) {
+func TestNetworkDelivery(t *testing.T) {
 	n := newNetwork()
 	draw := 1.0
 	n.random = func() float64 { return draw }
@@ -33,21 +33,21 @@
 	require.False(t, n.delivers("a", "b"))
 	require.True(t, n.delivers("b", "b"))
 	draw = 0
-	require.False(t, n.delivers("b", "b"), "any packet may be lost")
+	require.False(t, n.delivers("b", "b"), "background loss within a zone")
 }
 
-// link is a store behind a proxy.
-type link struct {
-	network *network
-	address string
-	asked   chan string
-	cancel  context.CancelFunc
+// storeLink is a store behind a proxy.
+type storeLink struct {
+	network   *network
+	address   string
+	requested chan string
+	cancel    context.CancelFunc
 }
 
-func newLink(t *testing.T) *link {
-	l := &link{network: newNetwork(), asked: make(chan string, 8)}
+func newStoreLink(t *testing.T) *storeLink {
+	l := &storeLink{network: newNetwork(), requested: make(chan string, 8)}
 	l.network.zones["node-0"] = "a"
-	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { l.asked <- r.URL.Path }))
+	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { l.requested <- r.URL.Path }))
 	t.Cleanup(server.Close)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -60,68 +60,69 @@
 	return l
 }
 
-func (l *link) set(modes ...FailureMode) {
+func (l *storeLink) setModes(modes ...FailureMode) {
 	l.network.update(func() { l.network.storeFailures["node-0"] = modes })
 }
 
-func (l *link) dial(t *testing.T) net.Conn {
+func (l *storeLink) dial(t *testing.T) net.Conn {
 	conn, err := net.Dial("tcp", l.address)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = conn.Close() })
 	return conn
 }
 
-func send(t *testing.T, conn net.Conn, path string) {
+func sendRequest(t *testing.T, conn net.Conn, path string) {
 	_, err := io.WriteString(conn, "GET "+path+" HTTP/1.1\r\nHost: store\r\n\r\n")
 	require.NoError(t, err)
 }
 
-// works has a new connection be answered, and returns it.
-func (l *link) works(t *testing.T) (conn net.Conn, r *bufio.Reader) {
+// checkWorks checks that a request on a new connection is answered, and returns
+// the connection.
+func (l *storeLink) checkWorks(t *testing.T) (conn net.Conn, r *bufio.Reader) {
 	conn = l.dial(t)
-	send(t, conn, "/works")
+	sendRequest(t, conn, "/works")
 	r = bufio.NewReader(conn)
 	res, err := http.ReadResponse(r, nil)
 	require.NoError(t, err)
 	require.NoError(t, res.Body.Close())
 	require.Equal(t, http.StatusOK, res.StatusCode)
-	require.Equal(t, "/works", <-l.asked)
+	require.Equal(t, "/works", <-l.requested)
 	return conn, r
 }
 
-// A connection that went silent stays open and carries nothing more, also when
-// new ones work again.
+// A connection that was open during a silence carries nothing more, even when new
+// connections work again.
 func TestSilentConnectionStaysSilent(t *testing.T) {
-	l := newLink(t)
-	conn, r := l.works(t)
-	l.set(Silent)
-	l.set()
-	send(t, conn, "/silent")
-	l.works(t)
+	l := newStoreLink(t)
+	conn, r := l.checkWorks(t)
+	l.setModes(Silent)
+	l.setModes()
+	sendRequest(t, conn, "/silent")
+	l.checkWorks(t)
 	l.cancel()
 	b, _ := io.ReadAll(r)
 	require.Empty(t, b)
 }
 
-func TestLostAnswersWereAsked(t *testing.T) {
-	l := newLink(t)
-	l.set(AnswersLost)
+func TestAnswersLost(t *testing.T) {
+	l := newStoreLink(t)
+	l.setModes(AnswersLost)
 	conn := l.dial(t)
-	send(t, conn, "/lost")
-	require.Equal(t, "/lost", <-l.asked)
+	sendRequest(t, conn, "/lost")
+	require.Equal(t, "/lost", <-l.requested)
 	l.cancel()
 	b, _ := io.ReadAll(conn)
 	require.Empty(t, b)
 }
 
-func TestResetEndsConnections(t *testing.T) {
-	l := newLink(t)
+func TestResetClosesConnections(t *testing.T) {
+	l := newStoreLink(t)
 	conn := l.dial(t)
-	send(t, conn, "/before")
-	<-l.asked
-	l.set(Reset)
+	sendRequest(t, conn, "/before")
+	<-l.requested
+	l.setModes(Reset)
 	_, err := io.ReadAll(conn)
 	require.Error(t, err)
-	l.set()
-	l.works(t)
+	l.setModes()
+	l.checkWorks(t)
 }
--- a/bronzesoak/plan_test.go
+++ b/bronzesoak/plan_test.go
@@ -11,7 +11,7 @@
 	"bronzeusher.example/bronzeusher/bronzereport"
 )
 
-func TestPlanIsDrawnFromItsSeed(t *testing.T) {
+func TestNewPlan(t *testing.T) {
 	seen := map[Kind]bool{}
 	for seed := range uint64(300) {
 		p := NewPlan(seed, 20*time.Second)
@@ -25,7 +25,7 @@
 	require.Len(t, seen, len(allKinds))
 }
 
-func TestPlanIsReadFromAFile(t *testing.T) {
+func TestReadPlan(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "plan.json")
 	p := NewPlan(7, 20*time.Second)
 	require.NoError(t, bronzereport.SaveJSON(path, p))
@@ -33,7 +33,7 @@
 	require.NoError(t, err)
 	require.Equal(t, p, read)
 
-	for field, spoil := range map[string]func(*Plan){
+	for field, invalidate := range map[string]func(*Plan){
 		"Seconds":        func(p *Plan) { p.Seconds = 0 },
 		"Zones":          func(p *Plan) { p.Zones = 0 },
 		"NodesPerZone":   func(p *Plan) { p.NodesPerZone = 201 },
@@ -44,9 +44,9 @@
 		"Events[0].Kind": func(p *Plan) { p.Events[0].Kind = "Sing" },
 		"Events[0].Mode": func(p *Plan) { p.Events[0].Mode = "Loud" },
 	} {
-		bad := NewPlan(7, 20*time.Second)
-		spoil(&bad)
-		require.NoError(t, bronzereport.SaveJSON(path, bad))
+		invalid := NewPlan(7, 20*time.Second)
+		invalidate(&invalid)
+		require.NoError(t, bronzereport.SaveJSON(path, invalid))
 		_, err = ReadPlan(path)
 		require.ErrorContains(t, err, field+": ")
 	}
--- a/bronzesoak/run_test.go
+++ b/bronzesoak/run_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// regressions are seeds that once broke a promise, with the cause. Those with none
-// are here because they have much in them: kills of all nodes at once, cuts of zones
-// and of the store, servers replaced and addresses used again.
+// regressions are seeds that once had a violation, with its cause. Seeds without
+// one cover many kinds of events: kills and restarts of nodes, cuts of zones,
+// peers and the store, and changes of servers and routes.
 var regressions = []struct {
 	seed   uint64
 	length time.Duration
@@ -20,11 +20,11 @@
 }{
 	{seed: 12, length: 11 * time.Second, cause: "none, many events"},
 	{seed: 34, length: 11 * time.Second, cause: "none, many events"},
-	{seed: 4104, length: 11 * time.Second, cause: "a node was told to leave while it was stopped, and the check counted that time"},
+	{seed: 4104, length: 11 * time.Second, cause: "a node was told to leave while it was paused, and the check counted the pause"},
 }
 
-// build returns the program under test.
-func build(t *testing.T) (program string) {
+// buildProgram builds the program under test and returns its path.
+func buildProgram(t *testing.T) (program string) {
 	t.Helper()
 	program = filepath.Join(t.TempDir(), "bronzeedge")
 	out, err := exec.Command("go", "build", "-o", program, "bronzeusher.example/bronzeusher/cmd/bronzeedge").CombinedOutput()
@@ -32,10 +32,9 @@
 	return program
 }
 
-// Real processes of bronzeedge are harmed from outside, and keep what callers and
-// servers are promised.
-func TestPromisesHoldUnderFaults(t *testing.T) {
-	program := build(t)
+// Processes of bronzeedge keep all invariants under faults from outside.
+func TestInvariantsUnderFaults(t *testing.T) {
+	program := buildProgram(t)
 	for _, r := range regressions {
 		t.Run(fmt.Sprint("Seed", r.seed), func(t *testing.T) {
 			result, err := Run(t.Context(), NewPlan(r.seed, r.length), Options{Program: program, Dir: t.TempDir()})
@@ -46,8 +45,9 @@
 	}
 }
 
-// Guards against new flows at servers that leave just after the store fell back.
-func TestServersLeaveAfterTheStoreFellBack(t *testing.T) {
+// Guards against new flows at servers that start to drain just after the store
+// was restored from a backup.
+func TestServersReplacedAfterStoreRestore(t *testing.T) {
 	plan := Plan{
 		Seconds: 13, Zones: 2, NodesPerZone: 2, ServersPerZone: 3, Callers: 40, PauseMS: 250, WorkMS: 15,
 		Events: []Event{
@@ -61,7 +61,7 @@
 	for i := range 3 {
 		plan.Events = append(plan.Events, Event{AtMS: 5600, Kind: ReplaceServer, Target: 1 + 2*i})
 	}
-	result, err := Run(t.Context(), plan, Options{Program: build(t), Dir: t.TempDir()})
+	result, err := Run(t.Context(), plan, Options{Program: buildProgram(t), Dir: t.TempDir()})
 	require.NoError(t, err)
 	require.Empty(t, result.Broken)
 	require.Positive(t, result.Served)
