--- a/bronzesoak/doc.go
+++ b/bronzesoak/doc.go
@@ -11,7 +11,7 @@
 // Observations of callers and servers are checked against what was published
 // and injected: see Invariant. An invariant with a time bound is checked only
 // where the node, the server or the store concerned has been undisturbed for
-// settleTime. Nodes store nothing and their clocks are not changed, so there
+// four seconds. Nodes store nothing and their clocks are not changed, so there
 // are no faults of disks or clocks.
 //
 // # Usage
--- a/bronzesoak/invariant.go
+++ b/bronzesoak/invariant.go
@@ -20,33 +20,32 @@
 	// BrokenFlow: a node reset an open flow although its server was running and
 	// its route active.
 	BrokenFlow Invariant = "BrokenFlow"
-	// Strayed: for strayTimeout, packets of an open flow went to other servers
-	// and none to its own.
+	// Strayed: for two seconds or more, packets of an open flow went to other
+	// servers and none to its own.
 	Strayed Invariant = "Strayed"
 	// RanTwice: a request that is not idempotent ran more than once.
 	RanTwice Invariant = "RanTwice"
-	// NewOnDraining: a server received a new flow more than propagationTime and
-	// openRetransmitTime after it registered as draining.
+	// NewOnDraining: a server received a new flow more than 3.7 seconds
+	// (propagationTime and openRetransmitTime) after it registered as draining.
 	NewOnDraining Invariant = "NewOnDraining"
-	// NewInDrainedZone: a server received a new flow more than propagationTime
-	// and openRetransmitTime after its zone was drained.
+	// NewInDrainedZone: a server received a new flow more than 3.7 seconds after
+	// its zone was drained.
 	NewInDrainedZone Invariant = "NewInDrainedZone"
-	// OldTable: a node applied an outdated route table more than propagationTime
-	// after a newer one was published, for withdrawn routes more than
-	// propagationTime and openRetransmitTime.
+	// OldTable: a node refused a route more than three seconds after it was added,
+	// or forwarded by one more than 3.7 seconds after it was withdrawn.
 	OldTable Invariant = "OldTable"
 	// WentBack: a node refused a route that it had used before.
 	WentBack Invariant = "WentBack"
-	// ReadyAgain: a leaving node reported that it was ready unreadyDeadline or
-	// more after it was told to leave.
-	ReadyAgain Invariant = "ReadyAgain"
-	// LeftLate: a node took longer than leaveGrace and leaveTolerance to exit
+	// ReadyAgain: a leaving node reported that it was ready one second or more
 	// after it was told to leave.
+	ReadyAgain Invariant = "ReadyAgain"
+	// LeftLate: a node took longer to exit than its grace period and a tolerance
+	// of two seconds after it was told to leave.
 	LeftLate Invariant = "LeftLate"
 	// Exited: a node process exited although it had been neither killed nor told
 	// to leave.
 	Exited Invariant = "Exited"
-	// Unserved: less than minFinalServed of the requests near the end of the run,
+	// Unserved: fewer than nine tenths of the requests near the end of the run,
 	// when generated plans start no more events, were served.
 	Unserved Invariant = "Unserved"
 )
@@ -54,6 +53,7 @@
 // Violation is an observation that contradicts an invariant. Results call it a
 // broken promise.
 type Violation struct {
+	// Promise is the violated invariant.
 	Promise Invariant
 	// AtMS is the time since the start of traffic in milliseconds.
 	AtMS int64
--- a/bronzesoak/node.go
+++ b/bronzesoak/node.go
@@ -33,8 +33,8 @@
 	zone string
 	data netip.AddrPort
 	cfg  bronzeedge.Config
-	// disturbance covers all events that affect the node, faults all but planned
-	// restarts.
+	// disturbance covers faults and planned restarts of the node, faults only the
+	// former.
 	disturbance disturbance
 	faults      disturbance
 
--- a/bronzesoak/run.go
+++ b/bronzesoak/run.go
@@ -251,17 +251,17 @@
 	s.startCallers(ctx)
 	go s.probeRoutes(ctx, s.callerHosts[0])
 	go s.detectStalls(ctx)
-	var over sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range s.plan.Events {
 		e := &s.plan.Events[i]
 		bronzeretry.Pause(ctx, e.offset()-time.Since(s.violations.start))
 		if ctx.Err() != nil {
 			break
 		}
-		over.Go(func() { s.apply(ctx, e) })
+		wg.Go(func() { s.apply(ctx, e) })
 	}
 	<-ctx.Done()
-	over.Wait()
+	wg.Wait()
 }
 
 // A busy machine delays all processes, which is no fault of nodes. It is stalled
@@ -311,14 +311,14 @@
 
 // stopNodes tells all nodes to leave and waits until they have exited.
 func (s *soak) stopNodes() {
-	var over sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, n := range s.nodes {
-		over.Go(func() {
+		wg.Go(func() {
 			n.signal(syscall.SIGCONT)
 			n.leave()
 		})
 	}
-	over.Wait()
+	wg.Wait()
 }
 
 // result sums up the run, and checks Unserved unless the machine stalled.
