--- a/bronzecore/change_test.go
+++ b/bronzecore/change_test.go
@@ -52,7 +52,7 @@
 		w.cut = func(from, to string) bool {
 			return w.nodes[from] != nil && w.nodes[to] != nil && slices.Contains(left, from) != slices.Contains(left, to)
 		}
-		split := func(v *bronzefleet.View) { v.Split = true }
+		split := func(v *bronzefleet.View) { v.Partitioned = true }
 		w.setViews(left, split)
 		w.setViews(right, split)
 	}},
--- a/bronzecore/decision.go
+++ b/bronzecore/decision.go
@@ -133,5 +133,5 @@
 // split reports whether another side may be placing the same flows.
 func (b *Balancer) split() bool {
 	v := b.view.Load()
-	return v != nil && v.Split
+	return v != nil && v.Partitioned
 }
--- a/bronzecore/failure_test.go
+++ b/bronzecore/failure_test.go
@@ -238,7 +238,7 @@
 			return a && b && side[from] != side[to]
 		}
 		w.settle(500 * time.Millisecond)
-		split := func(v *bronzefleet.View) { v.Split = true }
+		split := func(v *bronzefleet.View) { v.Partitioned = true }
 		w.setViews([]string{"vm-0", "vm-1", "vm-2"}, split)
 		w.setViews([]string{"vm-3", "vm-4", "vm-5"}, split)
 		w.settle(3 * time.Second)
@@ -260,7 +260,7 @@
 			cutHost := to == "host-0" && !side[from] || from == "host-0" && !side[to]
 			return a && b && side[from] != side[to] || cutHost
 		}
-		split := func(v *bronzefleet.View) { v.Split = true }
+		split := func(v *bronzefleet.View) { v.Partitioned = true }
 		w.setViews([]string{"vm-0", "vm-1"}, split)
 		w.setViews([]string{"vm-2", "vm-3"}, split)
 		w.openMany(20)
--- a/bronzecore/outcome_test.go
+++ b/bronzecore/outcome_test.go
@@ -255,7 +255,7 @@
 			planned = false
 			w.splitFor(time.Second)
 			w.cut = whole
-			w.setViews(w.names(), func(v *bronzefleet.View) { v.Split = false })
+			w.setViews(w.names(), func(v *bronzefleet.View) { v.Partitioned = false })
 		case 7: // a server refuses new flows
 			planned = false
 			w.servers[bronzeflow.NewServerID(customer, "host-3")].refuses = true
@@ -306,7 +306,7 @@
 		return w.nodes[from] != nil && w.nodes[to] != nil && side[from] != side[to]
 	}
 	w.settle(300 * time.Millisecond)
-	split := func(v *bronzefleet.View) { v.Split = true }
+	split := func(v *bronzefleet.View) { v.Partitioned = true }
 	w.setViews(names[:half], split)
 	w.setViews(names[half:], split)
 	w.openMany(5)
--- a/bronzecore/split_test.go
+++ b/bronzecore/split_test.go
@@ -13,7 +13,7 @@
 )
 
 // inSplit marks a view as that of one side of a split.
-func inSplit(v *bronzefleet.View) { v.Split = true }
+func inSplit(v *bronzefleet.View) { v.Partitioned = true }
 
 // A node joins while an opening is pending at its former owner, which has
 // been refused by the first server and waits for the second. The caller's
@@ -105,7 +105,7 @@
 		require.False(w.t, f.aborted || f.refused)
 		mark := w.mark()
 		w.cut = func(string, string) bool { return false }
-		w.setViews(w.names(), func(v *bronzefleet.View) { v.Split = false })
+		w.setViews(w.names(), func(v *bronzefleet.View) { v.Partitioned = false })
 		w.settle(4 * time.Second)
 		w.checkGoingOn(mark)
 	})
--- a/bronzefleet/fleet_test.go
+++ b/bronzefleet/fleet_test.go
@@ -48,11 +48,11 @@
 		rest := slices.Concat(nodes[:3], nodes[4:])
 		for _, p := range rest {
 			require.NotContains(t, p.View().Members, nodes[3].Self.Name)
-			require.True(t, p.View().Split)
+			require.True(t, p.View().Partitioned)
 		}
 		sameOrders(t, rest)
 		time.Sleep(DefaultSplitFor)
-		require.False(t, rest[0].View().Split)
+		require.False(t, rest[0].View().Partitioned)
 	})
 }
 
@@ -141,7 +141,7 @@
 		nodes[2].cancel()
 		time.Sleep(5 * time.Second)
 		require.NotContains(t, nodes[5].View().Members, name)
-		require.False(t, nodes[5].View().Split)
+		require.False(t, nodes[5].View().Partitioned)
 		require.Zero(t, n.counted(CountSuspected))
 	})
 }
@@ -159,8 +159,8 @@
 		time.Sleep(time.Minute)
 		require.Len(t, nodes[0].View().Members, 2)
 		require.Len(t, nodes[1].View().Members, 6)
-		require.True(t, nodes[0].View().Split)
-		require.True(t, nodes[1].View().Split)
+		require.True(t, nodes[0].View().Partitioned)
+		require.True(t, nodes[1].View().Partitioned)
 		died := n.counted(CountDied)
 		for _, p := range nodes {
 			p.seen()
@@ -171,7 +171,7 @@
 		sameOrders(t, nodes)
 		for _, p := range nodes {
 			require.Len(t, p.View().Members, 8)
-			require.False(t, p.View().Split)
+			require.False(t, p.View().Partitioned)
 			require.True(t, p.View().Unsettled(1<<63, 25*time.Second))
 			requireNoFlap(t, p)
 		}
--- a/bronzefleet/network_test.go
+++ b/bronzefleet/network_test.go
@@ -248,7 +248,7 @@
 	for _, p := range nodes {
 		require.Len(n.t, p.View().Members, size, p.Self.Name)
 		require.True(n.t, p.View().Ready)
-		require.False(n.t, p.View().Split)
+		require.False(n.t, p.View().Partitioned)
 	}
 	return nodes
 }
--- a/bronzefleet/output.go
+++ b/bronzefleet/output.go
@@ -42,7 +42,7 @@
 	v := f.newView(f.self.Name, members, prev, now)
 	v.Ready = f.present()
 	v.Fenced = f.fenced
-	v.Split = f.split
+	v.Partitioned = f.split
 	f.view.Store(v)
 	f.digests = f.computeDigests()
 	f.setPeers()
--- a/bronzefleet/step_test.go
+++ b/bronzefleet/step_test.go
@@ -99,10 +99,10 @@
 			f.do(f.tick)
 		}
 		require.NotContains(t, f.View().Members, dead.Name)
-		require.True(t, f.View().Split)
+		require.True(t, f.View().Partitioned)
 		f.SetVMs(nil)
 		f.do(f.tick)
-		require.False(t, f.View().Split)
+		require.False(t, f.View().Partitioned)
 		require.Contains(t, f.View().Members, testMember(2).Name)
 	})
 }
--- a/bronzefleet/view.go
+++ b/bronzefleet/view.go
@@ -33,9 +33,9 @@
 	Ready bool
 	// Fenced is true while the node checks its beliefs after a pause.
 	Fenced bool
-	// Split is true while some member may be alive on the other side of a
+	// Partitioned is true while some member may be alive on the other side of a
 	// network partition: it is dead here and never said that it was leaving.
-	Split bool
+	Partitioned bool
 
 	// table is shared by views that have the same owners.
 	table *table
@@ -64,7 +64,7 @@
 		from = newTable(v.owners(self))
 	} else {
 		v.Version = prev.Version + 1
-		v.Ready, v.Fenced, v.Split = prev.Ready, prev.Fenced, prev.Split
+		v.Ready, v.Fenced, v.Partitioned = prev.Ready, prev.Fenced, prev.Partitioned
 		from = prev.table
 	}
 	v.table = from.update(v.owners(""), dead, now)
--- a/bronzenode/status.go
+++ b/bronzenode/status.go
@@ -64,7 +64,7 @@
 		Ready:            n.Ready(),
 		Leaving:          n.leaving.Load(),
 		Fenced:           v.Fenced,
-		Split:            v.Split,
+		Split:            v.Partitioned,
 		ReadsPlatform:    n.cfg.Platform != "" && n.readsPlatform(),
 		Balancer:         n.balancer.Status(),
 		Peers:            n.peers(),
