--- a/bronzefleet/fleet.go
+++ b/bronzefleet/fleet.go
@@ -61,10 +61,10 @@
 	JoinWait time.Duration
 	// NameWait bounds the wait for the name of a process that still answers.
 	NameWait time.Duration
-	// SplitFor is how long a member that died without leaving may be thought
+	// PartitionTimeout is how long a member that died without leaving may be thought
 	// alive on the other side of a partition, and SplitListedFor is the same
 	// while the list of VMs still holds it.
-	SplitFor, SplitListedFor time.Duration
+	PartitionTimeout, SplitListedFor time.Duration
 	// LoadBytesPerSecond bounds the encoded bytes of Load messages sent.
 	LoadBytesPerSecond int
 
