--- a/bronzefleet/fleet.go
+++ b/bronzefleet/fleet.go
@@ -62,9 +62,9 @@
 	// NameWait bounds the wait for the name of a process that still answers.
 	NameWait time.Duration
 	// PartitionTimeout is how long a member that died without leaving may be thought
-	// alive on the other side of a partition, and SplitListedFor is the same
+	// alive on the other side of a partition, and ListedPartitionTimeout is the same
 	// while the list of VMs still holds it.
-	PartitionTimeout, SplitListedFor time.Duration
+	PartitionTimeout, ListedPartitionTimeout time.Duration
 	// LoadBytesPerSecond bounds the encoded bytes of Load messages sent.
 	LoadBytesPerSecond int
 
--- a/bronzefleet/sync.go
+++ b/bronzefleet/sync.go
@@ -420,7 +420,7 @@
 	}
 	limit := orDefault(f.PartitionTimeout, DefaultSplitFor)
 	if _, listed := f.vms[e.m.Name]; listed {
-		limit = max(limit, orDefault(f.SplitListedFor, DefaultSplitListedFor))
+		limit = max(limit, orDefault(f.ListedPartitionTimeout, DefaultSplitListedFor))
 	}
 	return now.Sub(e.since) < limit
 }
