--- a/bronzefleet/fleet.go
+++ b/bronzefleet/fleet.go
@@ -28,7 +28,7 @@
 	DefaultLargeInterval      = time.Second // with more than largeFleet members
 	DefaultJoinWait           = 3 * time.Second
 	DefaultNameWait           = 30 * time.Second
-	DefaultSplitFor           = 60 * time.Second
+	DefaultPartitionTimeout   = 60 * time.Second
 	DefaultSplitListedFor     = 10 * time.Minute
 	DefaultLoadBytesPerSecond = 2048
 )
--- a/bronzefleet/fleet_test.go
+++ b/bronzefleet/fleet_test.go
@@ -51,7 +51,7 @@
 			require.True(t, p.View().Partitioned)
 		}
 		sameOrders(t, rest)
-		time.Sleep(DefaultSplitFor)
+		time.Sleep(DefaultPartitionTimeout)
 		require.False(t, rest[0].View().Partitioned)
 	})
 }
--- a/bronzefleet/sync.go
+++ b/bronzefleet/sync.go
@@ -418,7 +418,7 @@
 	if e.m.Status != bronzelink.Dead || e.saidLeave || f.confirmedGone(e) {
 		return false
 	}
-	limit := orDefault(f.PartitionTimeout, DefaultSplitFor)
+	limit := orDefault(f.PartitionTimeout, DefaultPartitionTimeout)
 	if _, listed := f.vms[e.m.Name]; listed {
 		limit = max(limit, orDefault(f.ListedPartitionTimeout, DefaultSplitListedFor))
 	}
