--- a/bronzefleet/fleet.go
+++ b/bronzefleet/fleet.go
@@ -24,13 +24,13 @@
 
 // The defaults of Fleet's fields.
 const (
-	DefaultInterval           = 500 * time.Millisecond
-	DefaultLargeInterval      = time.Second // with more than largeFleet members
-	DefaultJoinWait           = 3 * time.Second
-	DefaultNameWait           = 30 * time.Second
-	DefaultPartitionTimeout   = 60 * time.Second
-	DefaultSplitListedFor     = 10 * time.Minute
-	DefaultLoadBytesPerSecond = 2048
+	DefaultInterval               = 500 * time.Millisecond
+	DefaultLargeInterval          = time.Second // with more than largeFleet members
+	DefaultJoinWait               = 3 * time.Second
+	DefaultNameWait               = 30 * time.Second
+	DefaultPartitionTimeout       = 60 * time.Second
+	DefaultListedPartitionTimeout = 10 * time.Minute
+	DefaultLoadBytesPerSecond     = 2048
 )
 
 const (
--- a/bronzefleet/sync.go
+++ b/bronzefleet/sync.go
@@ -420,7 +420,7 @@
 	}
 	limit := orDefault(f.PartitionTimeout, DefaultPartitionTimeout)
 	if _, listed := f.vms[e.m.Name]; listed {
-		limit = max(limit, orDefault(f.ListedPartitionTimeout, DefaultSplitListedFor))
+		limit = max(limit, orDefault(f.ListedPartitionTimeout, DefaultListedPartitionTimeout))
 	}
 	return now.Sub(e.since) < limit
 }
