--- a/bronzefleet/member.go
+++ b/bronzefleet/member.go
@@ -106,7 +106,7 @@
 
 // doubt takes a claim of death as a suspicion.
 func (f *Fleet) doubt(e *entry, claim bronzelink.Member, now time.Time) {
-	f.count(CountHearsay)
+	f.count(CountDeathUnconfirmed)
 	if e.m.Status == bronzelink.Suspect && claim.Incarnation == e.m.Incarnation {
 		return
 	}
