--- a/bronzelink/link.go
+++ b/bronzelink/link.go
@@ -133,7 +133,7 @@
 		return
 	case errors.Is(l.err, ErrSilent):
 		m.count(CountSilent)
-	case errors.Is(l.err, ErrStuck):
+	case errors.Is(l.err, ErrWriteTimeout):
 		m.count(CountWriteTimeout)
 	}
 	_ = l.conn.CloseNow()
@@ -176,7 +176,7 @@
 // writeOne sends one message. The deadline is what frees the link of a peer
 // that has stopped reading: without it the writer would wait for ever.
 func (l *link) writeOne(ctx context.Context, b []byte) error {
-	timer := time.AfterFunc(l.mesh.writeTimeout(), func() { l.end(ErrStuck) })
+	timer := time.AfterFunc(l.mesh.writeTimeout(), func() { l.end(ErrWriteTimeout) })
 	defer timer.Stop()
 	l.touch()
 	return l.conn.Write(ctx, websocket.MessageBinary, b)
--- a/bronzelink/mesh.go
+++ b/bronzelink/mesh.go
@@ -19,7 +19,7 @@
 	ErrPlainNotLoopback = errors.New("links without certificates are for loopback addresses only")
 	ErrQueueFull        = errors.New("queue of the link is full")
 	ErrSilent           = errors.New("link went silent")
-	ErrStuck            = errors.New("peer doesn't read")
+	ErrWriteTimeout     = errors.New("peer doesn't read")
 )
 
 // Reasons that Mesh.Count is called with.
