--- a/bronzelink/mesh.go
+++ b/bronzelink/mesh.go
@@ -24,18 +24,18 @@
 
 // Reasons that Mesh.Count is called with.
 const (
-	CountDialFailed    = "LinkDialFailed"    // no connection to a peer's address
-	CountTLSRefused    = "LinkTLSRefused"    // no certificate from our CA, or none that fits
-	CountHelloRefused  = "LinkHelloRefused"  // another fleet, version or name
-	CountNameTaken     = "LinkNameTaken"     // the peer uses this node's name
-	CountPlainRefused  = "LinkPlainRefused"  // plain mode away from loopback
-	CountQueueFull     = "LinkQueueFull"     // a message dropped, the peer is too slow
-	CountSilent        = "LinkSilent"        // closed by the liveness deadline
-	CountBadMessage    = "LinkBadMessage"    // closed because of what it carried
-	CountWriteTimeout  = "LinkWriteTimeout"  // closed because a write took too long
-	CountLinkDuplicate = "LinkDuplicate"     // one of two links to one peer retired
-	CountReloadFailed  = "LinkReloadFailed"  // changed certificate files can't be used
-	CountRateLimited   = "LinkTooManyDialed" // too many connections being set up
+	CountDialFailed   = "LinkDialFailed"    // no connection to a peer's address
+	CountTLSRefused   = "LinkTLSRefused"    // no certificate from our CA, or none that fits
+	CountHelloRefused = "LinkHelloRefused"  // another fleet, version or name
+	CountNameTaken    = "LinkNameTaken"     // the peer uses this node's name
+	CountPlainRefused = "LinkPlainRefused"  // plain mode away from loopback
+	CountQueueFull    = "LinkQueueFull"     // a message dropped, the peer is too slow
+	CountSilent       = "LinkSilent"        // closed by the liveness deadline
+	CountBadMessage   = "LinkBadMessage"    // closed because of what it carried
+	CountWriteTimeout = "LinkWriteTimeout"  // closed because a write took too long
+	CountDuplicate    = "LinkDuplicate"     // one of two links to one peer retired
+	CountReloadFailed = "LinkReloadFailed"  // changed certificate files can't be used
+	CountRateLimited  = "LinkTooManyDialed" // too many connections being set up
 )
 
 // The defaults of Mesh's fields.
@@ -292,7 +292,7 @@
 	m.links[l.peer.Name] = kept
 	worse.moveTo(kept)
 	worse.retire()
-	m.count(CountLinkDuplicate)
+	m.count(CountDuplicate)
 	return nil
 }
 
