--- a/bronzelink/codec.go
+++ b/bronzelink/codec.go
@@ -8,10 +8,10 @@
 // The limits of one encoded message. A whole list of members at 490 nodes
 // takes under 100 KB, and the platform's values are at most a megabyte.
 const (
-	MaxMessageBytes = 4 << 20
-	MaxFlowBytes    = 64 << 10
-	maxNesting      = 16
-	maxElements     = 1 << 17
+	MaxMessageBytes     = 4 << 20
+	MaxFlowMessageBytes = 64 << 10
+	maxNesting          = 16
+	maxElements         = 1 << 17
 )
 
 // ErrTooLarge tells that an encoded message is over its limit.
@@ -45,11 +45,13 @@
 func Decode(b []byte) (m *Message, err error) { return decode[Message](b, MaxMessageBytes) }
 
 // EncodeFlow returns the CBOR form of m, or ErrTooLarge.
-func EncodeFlow(m *FlowMessage) (b []byte, err error) { return encode(m, MaxFlowBytes) }
+func EncodeFlow(m *FlowMessage) (b []byte, err error) { return encode(m, MaxFlowMessageBytes) }
 
 // DecodeFlow returns the message that b holds. Fields that this build doesn't
 // know are skipped. The result shares no memory with b.
-func DecodeFlow(b []byte) (m *FlowMessage, err error) { return decode[FlowMessage](b, MaxFlowBytes) }
+func DecodeFlow(b []byte) (m *FlowMessage, err error) {
+	return decode[FlowMessage](b, MaxFlowMessageBytes)
+}
 
 func encode[T any](m *T, limit int) (b []byte, err error) {
 	defer annotate(&err, "encoding a message")
