--- a/bronzenode/config.go
+++ b/bronzenode/config.go
@@ -82,9 +82,9 @@
 	// Client asks the platform and the reports; nil means a client of the
 	// node's own.
 	Client *http.Client
-	// Cut, when set, tells which datagrams and control links from one
+	// Partitioned, when set, tells which datagrams and control links from one
 	// address to another are lost. Tests and demos make partitions by it.
-	Cut func(from, to netip.AddrPort) bool
+	Partitioned func(from, to netip.AddrPort) bool
 }
 
 // FieldError says which field of a Config is wrong and why.
--- a/bronzenode/cut.go
+++ b/bronzenode/cut.go
@@ -11,14 +11,14 @@
 // as in a network that drops packets.
 func (n *Node) dial(ctx context.Context, address string) (net.Conn, error) {
 	var d net.Dialer
-	if n.cfg.Cut == nil {
+	if n.cfg.Partitioned == nil {
 		return d.DialContext(ctx, "tcp", address)
 	}
 	to, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, err
 	}
-	if n.cfg.Cut(n.ControlAddress(), to) {
+	if n.cfg.Partitioned(n.ControlAddress(), to) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -26,7 +26,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &cutConn{Conn: conn, cut: n.cfg.Cut, from: n.ControlAddress(), to: to, closed: make(chan struct{})}, nil
+	return &cutConn{Conn: conn, cut: n.cfg.Partitioned, from: n.ControlAddress(), to: to, closed: make(chan struct{})}, nil
 }
 
 // cutConn is a connection that goes silent for good once Cut loses it: what
--- a/bronzenode/parts_test.go
+++ b/bronzenode/parts_test.go
@@ -179,7 +179,7 @@
 // what was written is lost, and a read ends only with the connection.
 func TestCutLosesLinkForGood(t *testing.T) {
 	cut := false
-	n := &Node{cfg: Config{Cut: func(_, _ netip.AddrPort) bool { return cut }}}
+	n := &Node{cfg: Config{Partitioned: func(_, _ netip.AddrPort) bool { return cut }}}
 	server := httptest.NewServer(http.NotFoundHandler())
 	defer server.Close()
 	n.control = server.Listener
--- a/bronzenode/path.go
+++ b/bronzenode/path.go
@@ -39,8 +39,8 @@
 
 func (n *Node) newWorker() *worker {
 	w := &worker{node: n}
-	w.edge = outbox{socket: n.edge, cut: n.cfg.Cut, refused: &w.seen[sendRefused]}
-	w.data = outbox{socket: n.data, cut: n.cfg.Cut, refused: &w.seen[sendRefused]}
+	w.edge = outbox{socket: n.edge, cut: n.cfg.Partitioned, refused: &w.seen[sendRefused]}
+	w.data = outbox{socket: n.data, cut: n.cfg.Partitioned, refused: &w.seen[sendRefused]}
 	return w
 }
 
@@ -64,7 +64,7 @@
 		w.node.gate.pass()
 		for i := range batch[:n] {
 			d := &batch[i]
-			if cut := w.node.cfg.Cut; cut != nil && cut(d.Addr, local) {
+			if cut := w.node.cfg.Partitioned; cut != nil && cut(d.Addr, local) {
 				continue
 			}
 			handle(d.Addr, d.Buf[:d.N])
--- a/bronzetest/balancer.go
+++ b/bronzetest/balancer.go
@@ -128,7 +128,7 @@
 		Name: b.name, Fleet: r.Deployment, Region: r.Deployment, AvailabilityZone: b.zone,
 		EdgeAddress: loopback, DataAddress: loopback, ControlAddress: loopback, HTTPAddress: loopback,
 		FabricAddress: r.fabric.Egress(), Platform: r.platformURL, Plain: true,
-		LeaveQuiet: leaveQuiet, LeaveLimit: leaveLimit, Log: r.Log, Cut: r.cut,
+		LeaveQuiet: leaveQuiet, LeaveLimit: leaveLimit, Log: r.Log, Partitioned: r.cut,
 	}
 	for _, peer := range r.live() {
 		cfg.Peers = append(cfg.Peers, peer.node.ControlAddress().String())
