--- a/bronzecore/caller.go
+++ b/bronzecore/caller.go
@@ -20,7 +20,7 @@
 
 func (d *decision) fromCaller(peer string) {
 	p := &d.packet
-	if p.Hops&bronzeflow.Noted != 0 {
+	if p.Hops&bronzeflow.AlreadyForwarded != 0 {
 		d.markEnded(bronzeflow.CallerClosed, p.Kind == bronzeflow.Reset)
 		return
 	}
@@ -128,6 +128,6 @@
 		return
 	}
 	q := d.packet
-	q.Hops |= bronzeflow.Noted
+	q.Hops |= bronzeflow.AlreadyForwarded
 	d.add(Action{Kind: kind, Server: e.Server, Peer: owner, Packet: q})
 }
--- a/bronzecore/server.go
+++ b/bronzecore/server.go
@@ -36,7 +36,7 @@
 
 // fromServer decides on a packet of server id, which is in force.
 func (d *decision) fromServer(id bronzeflow.ServerID) {
-	if d.packet.Hops&bronzeflow.Noted != 0 {
+	if d.packet.Hops&bronzeflow.AlreadyForwarded != 0 {
 		d.markEnded(bronzeflow.ServerClosed, false)
 		return
 	}
--- a/bronzeflow/packet.go
+++ b/bronzeflow/packet.go
@@ -34,9 +34,9 @@
 	return "Invalid"
 }
 
-// Noted marks, in Hops, the copy of a packet that ends a flow: it has been
+// AlreadyForwarded marks, in Hops, the copy of a packet that ends a flow: it has been
 // forwarded, and the flow's owner shall only take note of it.
-const Noted uint8 = 0x80
+const AlreadyForwarded uint8 = 0x80
 
 // Packet is one packet of a flow as the decisions see it.
 type Packet struct {
@@ -53,7 +53,7 @@
 	// number): a piece that is sent again has the same. 0 means not known.
 	Sequence uint32
 	// Hops counts the balancers that relayed the packet so far. The bit
-	// Noted is set on a copy that its sender has forwarded already.
+	// AlreadyForwarded is set on a copy that its sender has forwarded already.
 	Hops uint8
 	// Raw is the packet as it was on the wire. The decisions never read it;
 	// they may keep a copy of an Open's.
