--- a/bronzecore/message.go
+++ b/bronzecore/message.go
@@ -77,10 +77,10 @@
 // same as the last one.
 func (d *decision) repeated(e bronzeflow.Entry) bool {
 	last := uint16(d.packet.Sequence)
-	if e.Last == last {
+	if e.LastRelayedSequence == last {
 		return true
 	}
-	d.table.Update(&d.packet.Key, d.hash, func(e *bronzeflow.Entry) { e.Last = last })
+	d.table.Update(&d.packet.Key, d.hash, func(e *bronzeflow.Entry) { e.LastRelayedSequence = last })
 	return false
 }
 
--- a/bronzeflow/entry.go
+++ b/bronzeflow/entry.go
@@ -46,7 +46,7 @@
 	Echo   uint32
 	State  State
 	Flags  Flags
-	// Last is the low half of the Sequence of the last payload that another
+	// LastRelayedSequence is the low half of the Sequence of the last payload that another
 	// node relayed here, or 0.
-	Last uint16
+	LastRelayedSequence uint16
 }
