--- a/bronzecore/balancer.go
+++ b/bronzecore/balancer.go
@@ -132,7 +132,7 @@
 		b.started = time.Now()
 		b.Timing.setDefaults()
 		b.table.Capacity = b.Capacity
-		b.table.Evicted = b.evicted
+		b.table.OnEvict = b.evicted
 		b.limits.HalfOpen = b.HalfOpen
 		b.limits.Open = b.Open
 		b.copier.setRate(b.CopyBytesPerSecond)
--- a/bronzeflow/table.go
+++ b/bronzeflow/table.go
@@ -23,9 +23,9 @@
 	// Capacity is the most entries that the table holds; 0 means
 	// DefaultCapacity. Set it before use.
 	Capacity int
-	// Evicted, if set, is called with each entry that gave way to another
+	// OnEvict, if set, is called with each entry that gave way to another
 	// one. No lock is held then. Set it before use.
-	Evicted func(k Key, e Entry)
+	OnEvict func(k Key, e Entry)
 
 	count atomic.Int64
 	// Insertions write count; it must not share the first shard's lines.
@@ -100,8 +100,8 @@
 	s.mu.Unlock()
 	// The lock is released first: a callback that used the table would wait
 	// for its own lock for ever.
-	if t.Evicted != nil {
-		t.Evicted(old.key, old.entry)
+	if t.OnEvict != nil {
+		t.OnEvict(old.key, old.entry)
 	}
 	return true
 }
--- a/bronzeflow/table_test.go
+++ b/bronzeflow/table_test.go
@@ -109,7 +109,7 @@
 		var evicted []Entry
 		table := Table{Capacity: rapid.IntRange(1, evictionSample).Draw(t, "Capacity")}
 		model := map[Key]Entry{}
-		table.Evicted = func(k Key, e Entry) {
+		table.OnEvict = func(k Key, e Entry) {
 			require.Equal(t, model[k], e)
 			evicted = append(evicted, e)
 			delete(model, k)
@@ -172,7 +172,7 @@
 func TestTableCallsEvictedUnlocked(t *testing.T) {
 	table := Table{Capacity: 1}
 	calls := 0
-	table.Evicted = func(k Key, _ Entry) {
+	table.OnEvict = func(k Key, _ Entry) {
 		calls++
 		_, ok := table.Get(&k, 0)
 		require.False(t, ok)
