--- a/bronzecore/service.go
+++ b/bronzecore/service.go
@@ -87,7 +87,7 @@
 	s.shared.Store(shared)
 	for _, st := range s.byName {
 		st.pool.SetOwners(n)
-		st.pool.SetShared(shared)
+		st.pool.SetCountsShared(shared)
 	}
 }
 
--- a/bronzepool/pool.go
+++ b/bronzepool/pool.go
@@ -104,11 +104,11 @@
 // are large, and cost bytes and memory.
 const MaxSharedPairs = 5000
 
-// SetShared tells whether the owners share their counts, which they do unless
+// SetCountsShared tells whether the owners share their counts, which they do unless
 // they say otherwise. Without, a flow goes to its first candidate that may
 // have work: a server that fails openings, says that it is full, is leaving or
 // holds all it may is passed over, and nothing else is.
-func (p *Pool) SetShared(shared bool) {
+func (p *Pool) SetCountsShared(shared bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.unshared = !shared
--- a/bronzepool/unshared_test.go
+++ b/bronzepool/unshared_test.go
@@ -17,7 +17,7 @@
 	var p Pool
 	p.SetService(newService(16))
 	p.SetOwners(490)
-	p.SetShared(false)
+	p.SetCountsShared(false)
 	p.SetOwned("vm-2", map[bronzeflow.ServerID]uint32{1: 5})
 	for hash := range uint64(2000) {
 		hash = bronzeflow.Mix(hash, 1)
--- a/cmd/bronzecost/exception_bench_test.go
+++ b/cmd/bronzecost/exception_bench_test.go
@@ -148,7 +148,7 @@
 // hashAlone makes the owners place by the hash, as they do at the target.
 func (p *placement) hashAlone() {
 	for i := range p.owners {
-		p.owners[i].SetShared(false)
+		p.owners[i].SetCountsShared(false)
 	}
 }
 
