--- a/bronzecore/place.go
+++ b/bronzecore/place.go
@@ -12,7 +12,7 @@
 		d.add(d.refusal(&a.held, r))
 		return
 	}
-	d.service.budget.Open()
+	d.service.budget.CountOpen()
 	a.disputed = a.disputed || d.split()
 	a.deadline = a.started.Add(d.service.openDeadline())
 	d.try(a, prefer, None)
--- a/bronzepool/budget.go
+++ b/bronzepool/budget.go
@@ -34,8 +34,8 @@
 	b.Share = share
 }
 
-// Open notes a first attempt to open a flow.
-func (b *Budget) Open() {
+// CountOpen notes a first attempt to open a flow.
+func (b *Budget) CountOpen() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.start()
--- a/bronzepool/budget_test.go
+++ b/bronzepool/budget_test.go
@@ -16,7 +16,7 @@
 		opens, retries := 0, 0
 		for _, open := range rapid.SliceOf(rapid.Bool()).Draw(t, "Opens") {
 			if open {
-				b.Open()
+				b.CountOpen()
 				opens++
 			} else if b.TryRetry() {
 				retries++
@@ -38,7 +38,7 @@
 	b := Budget{Share: 0.1}
 	tries, retries := 0, 0
 	for range opens {
-		b.Open()
+		b.CountOpen()
 		for attempt := 1; ; attempt++ {
 			tries++
 			refused := tries%3 == 0
--- a/bronzepool/example_test.go
+++ b/bronzepool/example_test.go
@@ -46,10 +46,10 @@
 
 func ExampleBudget() {
 	b := bronzepool.Budget{Share: 0.5, Burst: 1}
-	b.Open()
+	b.CountOpen()
 	fmt.Println(b.TryRetry(), b.TryRetry())
-	b.Open()
-	b.Open()
+	b.CountOpen()
+	b.CountOpen()
 	fmt.Println(b.TryRetry())
 	// Output:
 	// true false
--- a/bronzepool/storm_test.go
+++ b/bronzepool/storm_test.go
@@ -252,7 +252,7 @@
 		given := 0
 		for range 1800 {
 			time.Sleep(10 * time.Millisecond)
-			b.Open()
+			b.CountOpen()
 			var tried []bronzeflow.ServerID
 			id, _, ok := p.Choose(rnd.Uint64(), tried, false)
 			for ok && sheds[id] {
