--- a/bronzecore/service.go
+++ b/bronzecore/service.go
@@ -57,7 +57,7 @@
 	}
 	for _, conf := range snap.Services {
 		name := serviceName(conf)
-		st := &service{conf: conf, account: limits.Set(conf)}
+		st := &service{conf: conf, account: limits.SetService(conf)}
 		if old, ok := s.byName[name]; ok {
 			st.pool = old.pool
 			st.budget = old.budget
--- a/bronzepool/bench_test.go
+++ b/bronzepool/bench_test.go
@@ -105,7 +105,7 @@
 
 func BenchmarkAdmit(b *testing.B) {
 	var a Admission
-	acc := a.Set(newService(1))
+	acc := a.SetService(newService(1))
 	b.ReportAllocs()
 	for b.Loop() {
 		acc.Admit()
--- a/bronzepool/example_test.go
+++ b/bronzepool/example_test.go
@@ -58,7 +58,7 @@
 
 func ExampleAdmission() {
 	var a bronzepool.Admission
-	acc := a.Set(service())
+	acc := a.SetService(service())
 	fmt.Println(acc.Admit(), acc.Admit())
 	acc.Established()
 	fmt.Println(acc.Admit())
--- a/bronzepool/limits.go
+++ b/bronzepool/limits.go
@@ -87,9 +87,9 @@
 	open      int64
 }
 
-// Set returns the account of a service, with the limits of svc in force. The
+// SetService returns the account of a service, with the limits of svc in force. The
 // account of an earlier version of the service is kept.
-func (a *Admission) Set(svc *bronzeconf.Service) *Account {
+func (a *Admission) SetService(svc *bronzeconf.Service) *Account {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	c := a.customer(svc.Customer)
--- a/bronzepool/limits_test.go
+++ b/bronzepool/limits_test.go
@@ -12,7 +12,7 @@
 )
 
 func newAccount(a *Admission, customer, name string, l bronzeconf.Limits) *Account {
-	return a.Set(&bronzeconf.Service{Customer: customer, Name: name, Limits: l})
+	return a.SetService(&bronzeconf.Service{Customer: customer, Name: name, Limits: l})
 }
 
 func TestServiceLimits(t *testing.T) {
@@ -32,14 +32,14 @@
 func TestRemoveKeepsOpenFlowsCounted(t *testing.T) {
 	svc := &bronzeconf.Service{Customer: "Acme", Name: "web", Limits: bronzeconf.Limits{Open: 1}}
 	a := Admission{Open: 9}
-	old := a.Set(svc)
+	old := a.SetService(svc)
 	require.Equal(t, Admitted, old.Admit())
 	a.Remove(svc)
-	require.Equal(t, Admitted, a.Set(svc).Admit())
+	require.Equal(t, Admitted, a.SetService(svc).Admit())
 	require.EqualValues(t, 2, a.customers["Acme"].open)
 	old.Ended(false)
 	require.EqualValues(t, 1, a.open.Load())
-	a.Set(svc).Ended(false)
+	a.SetService(svc).Ended(false)
 	a.Remove(svc)
 	require.Empty(t, a.customers)
 }
--- a/bronzesteer/tracking.go
+++ b/bronzesteer/tracking.go
@@ -47,7 +47,7 @@
 		s.admission.Remove(&a.service)
 	}
 	a = &account{service: bronzeconf.Service{Customer: route.Customer, Name: route.Service.String()}}
-	a.use = s.admission.Set(&a.service)
+	a.use = s.admission.SetService(&a.service)
 	s.accounts[route.Service] = a
 	return a.use
 }
