--- a/bronzecore/service.go
+++ b/bronzecore/service.go
@@ -74,7 +74,7 @@
 	n.setOwners(owners)
 	for name, old := range s.byName {
 		if _, ok := n.byName[name]; !ok {
-			limits.Remove(old.conf)
+			limits.RemoveService(old.conf)
 		}
 	}
 	return n
--- a/bronzepool/limits.go
+++ b/bronzepool/limits.go
@@ -76,7 +76,7 @@
 	accounts map[string]*Account
 }
 
-// Account is what one service uses of a node. It stays valid after Remove
+// Account is what one service uses of a node. It stays valid after RemoveService
 // for the flows that are still open.
 type Account struct {
 	admission *Admission
@@ -107,8 +107,8 @@
 	return acc
 }
 
-// Remove forgets the account of a service that is no longer in force.
-func (a *Admission) Remove(svc *bronzeconf.Service) {
+// RemoveService forgets the account of a service that is no longer in force.
+func (a *Admission) RemoveService(svc *bronzeconf.Service) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	c := a.customer(svc.Customer)
--- a/bronzepool/limits_test.go
+++ b/bronzepool/limits_test.go
@@ -34,13 +34,13 @@
 	a := Admission{Open: 9}
 	old := a.SetService(svc)
 	require.Equal(t, Admitted, old.Admit())
-	a.Remove(svc)
+	a.RemoveService(svc)
 	require.Equal(t, Admitted, a.SetService(svc).Admit())
 	require.EqualValues(t, 2, a.customers["Acme"].open)
 	old.Ended(false)
 	require.EqualValues(t, 1, a.open.Load())
 	a.SetService(svc).Ended(false)
-	a.Remove(svc)
+	a.RemoveService(svc)
 	require.Empty(t, a.customers)
 }
 
--- a/bronzesteer/tracking.go
+++ b/bronzesteer/tracking.go
@@ -44,7 +44,7 @@
 		return a.use
 	}
 	if a != nil {
-		s.admission.Remove(&a.service)
+		s.admission.RemoveService(&a.service)
 	}
 	a = &account{service: bronzeconf.Service{Customer: route.Customer, Name: route.Service.String()}}
 	a.use = s.admission.SetService(&a.service)
@@ -57,7 +57,7 @@
 func (s *Steerer) removeAccounts(v *bronzeroute.View) {
 	for endpoint, a := range s.accounts {
 		if v.Route(endpoint) == nil {
-			s.admission.Remove(&a.service)
+			s.admission.RemoveService(&a.service)
 			delete(s.accounts, endpoint)
 		}
 	}
