--- a/bronzeconf/reader.go
+++ b/bronzeconf/reader.go
@@ -54,8 +54,8 @@
 	Active func() bool
 	// Count counts an event of the given reason.
 	Count func(reason string)
-	// Failed gets each error of the platform, for the log.
-	Failed func(error)
+	// OnError gets each error of the platform, for the log.
+	OnError func(error)
 
 	// watched is the platform's revision of the value that was seen last.
 	watched uint64
@@ -205,8 +205,8 @@
 
 func (r *Reader) fail(reason string, err error) {
 	r.count(reason)
-	if r.Failed != nil {
-		r.Failed(err)
+	if r.OnError != nil {
+		r.OnError(err)
 	}
 }
 
--- a/bronzenode/run.go
+++ b/bronzenode/run.go
@@ -167,7 +167,7 @@
 		Store:    &n.store,
 		Active:   n.readsPlatform,
 		Count:    n.counters.reasons(countConfig),
-		Failed:   func(err error) { n.log.WithError(err).Debug("platform not read") },
+		OnError:  func(err error) { n.log.WithError(err).Debug("platform not read") },
 	}
 	err := reader.Run(ctx)
 	if errors.Is(err, context.Canceled) {
