--- a/bronzeconf/exchange.go
+++ b/bronzeconf/exchange.go
@@ -47,9 +47,9 @@
 	return s.revision, present, byRevision(bodies)
 }
 
-// Lacks returns the names of the records in present whose revision there is
+// Missing returns the names of the records in present whose revision there is
 // newer than any that the store has seen, in order.
-func (s *Store) Lacks(present []RecordVersion) (names []string) {
+func (s *Store) Missing(present []RecordVersion) (names []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, v := range present {
--- a/bronzeconf/reader.go
+++ b/bronzeconf/reader.go
@@ -190,7 +190,7 @@
 
 // wanted returns the records that neither the store nor bodies have.
 func (r *Reader) wanted() (list []RecordVersion) {
-	lacks := r.Store.Lacks(r.index.Records)
+	lacks := r.Store.Missing(r.index.Records)
 	for _, v := range r.index.Records {
 		_, lacking := slices.BinarySearch(lacks, v.Name)
 		held := slices.ContainsFunc(r.bodies, func(b StoredRecord) bool {
--- a/bronzeconf/store_test.go
+++ b/bronzeconf/store_test.go
@@ -110,7 +110,7 @@
 	apply(t, s, 6, liveRecord(t, 3))
 	require.Empty(t, s.Snapshot().Services)
 	require.Contains(t, s.Snapshot().Refusals[0].Reason, "is not above 4")
-	require.Empty(t, s.Lacks([]RecordVersion{{Name: "live", Revision: 3}}))
+	require.Empty(t, s.Missing([]RecordVersion{{Name: "live", Revision: 3}}))
 }
 
 func TestStoreTooNewSchema(t *testing.T) {
@@ -182,7 +182,7 @@
 	apply(t, s, 3, StoredRecord{Name: "live", Revision: 3, Body: edited(t, `"Port":443`, `"Port":0`)})
 	apply(t, s, 3, StoredRecord{Name: "live", Revision: 2, Body: []byte("{}")})
 	require.Equal(t, "Rules[0].Port", s.Snapshot().Refusals[0].Field)
-	require.Empty(t, s.Lacks([]RecordVersion{{Name: "live", Revision: 3}}))
+	require.Empty(t, s.Missing([]RecordVersion{{Name: "live", Revision: 3}}))
 }
 
 func TestStoreCallsOnChange(t *testing.T) {
--- a/bronzenode/records.go
+++ b/bronzenode/records.go
@@ -152,7 +152,7 @@
 
 // askForLacking asks a peer for bodies that didn't arrive.
 func (n *Node) askForLacking() {
-	if !n.lacking.next(n.store.Lacks) {
+	if !n.lacking.next(n.store.Missing) {
 		return
 	}
 	for _, m := range n.members.Load().view.Members {
