--- a/bronzecore/brand_test.go
+++ b/bronzecore/brand_test.go
@@ -85,7 +85,7 @@
 			out = b.FromServer(p, []bronzeflow.ServerID{id}, nil)
 		case 5:
 			m := &bronzelink.Mapping{Key: p.Key, Server: id, State: bronzeflow.Established}
-			out = b.Message(&bronzelink.FlowMessage{Learn: m}, "vm-1", nil)
+			out = b.HandleMessage(&bronzelink.FlowMessage{Learn: m}, "vm-1", nil)
 		}
 		for _, a := range out {
 			switch a.Kind {
--- a/bronzecore/copy_test.go
+++ b/bronzecore/copy_test.go
@@ -79,7 +79,7 @@
 	for _, i := range m.Copies {
 		acks.CopyAcks = append(acks.CopyAcks, i.Hash)
 	}
-	c.Message(acks, peer, nil)
+	c.HandleMessage(acks, peer, nil)
 }
 
 // More exceptions wait than the pace allows, with all of them for one node,
--- a/bronzecore/harness_test.go
+++ b/bronzecore/harness_test.go
@@ -340,7 +340,7 @@
 		case bronzecore.RelayReply:
 			w.send(name, a.Peer, func(n *node) []bronzecore.Action { return n.ReplyFromPeer(&p, a.Server, nil) })
 		case bronzecore.Send:
-			w.send(name, a.Peer, func(n *node) []bronzecore.Action { return n.Message(a.Message, name, nil) })
+			w.send(name, a.Peer, func(n *node) []bronzecore.Action { return n.HandleMessage(a.Message, name, nil) })
 		case bronzecore.Forward, bronzecore.Probe, bronzecore.Cancel:
 			w.queue = append(w.queue, func() { w.atServer(name, a) })
 		case bronzecore.Reply, bronzecore.Refuse, bronzecore.Abort:
--- a/bronzecore/message.go
+++ b/bronzecore/message.go
@@ -5,9 +5,9 @@
 	"bronzeusher.example/bronzeusher/bronzelink"
 )
 
-// Message handles a message about flows from the node peer. Messages may be
+// HandleMessage handles a message about flows from the node peer. Messages may be
 // lost, doubled and late; each is idempotent.
-func (b *Balancer) Message(m *bronzelink.FlowMessage, peer string, out []Action) []Action {
+func (b *Balancer) HandleMessage(m *bronzelink.FlowMessage, peer string, out []Action) []Action {
 	b.init()
 	d := decision{Balancer: b, now: b.clock(), out: out, set: b.services.Load()}
 	switch {
--- a/bronzenode/worker.go
+++ b/bronzenode/worker.go
@@ -151,7 +151,7 @@
 			return err
 		}
 		w.seen[flowMessage]++
-		w.actions = balancer.Message(m, peer, w.actions)
+		w.actions = balancer.HandleMessage(m, peer, w.actions)
 	}
 	return nil
 }
--- a/cmd/bronzecost/counts_test.go
+++ b/cmd/bronzecost/counts_test.go
@@ -93,7 +93,7 @@
 		var again []bronzecore.Action
 		for _, a := range out {
 			unknown := bronzelink.FlowMessage{Answer: &bronzelink.Mapping{Key: key}}
-			again = b.Message(&unknown, a.Peer, again)
+			again = b.HandleMessage(&unknown, a.Peer, again)
 		}
 		requireQueries(t, again, maxQueries)
 	}
--- a/cmd/bronzecost/flow_bench_test.go
+++ b/cmd/bronzecost/flow_bench_test.go
@@ -99,7 +99,7 @@
 				ids[0] = snapshot.Match(&p.Key).Pool[0].ID
 				out = bal.FromServer(&p, ids, out[:0])
 				forget.Forget = &p.Key
-				out = bal.Message(&forget, "", out)
+				out = bal.HandleMessage(&forget, "", out)
 			}
 			require.Equal(b, bronzecore.Reply, out[0].Kind)
 		})
@@ -149,7 +149,7 @@
 		}
 		answer := &bronzelink.FlowMessage{Answer: &m}
 		n += frameBytes(b, a.Message) + frameBytes(b, answer)
-		out = bal.Message(answer, a.Peer, out[:0])
+		out = bal.HandleMessage(answer, a.Peer, out[:0])
 	}
 	require.Equal(b, bronzecore.Forward, out[0].Kind)
 	return n
@@ -278,7 +278,7 @@
 	var out []bronzecore.Action
 	for i := range n {
 		item := bronzelink.CopyItem{Hash: bronzeflow.Mix(uint64(i), 1), Server: 1}
-		out = bal.Message(&bronzelink.FlowMessage{Copies: []bronzelink.CopyItem{item}}, "vm", out[:0])
+		out = bal.HandleMessage(&bronzelink.FlowMessage{Copies: []bronzelink.CopyItem{item}}, "vm", out[:0])
 	}
 	return bal
 }
