--- a/bronzecore/status.go
+++ b/bronzecore/status.go
@@ -72,8 +72,8 @@
 	return st
 }
 
-// Undone is what a leaving balancer has not handed over.
-type Undone struct {
+// Remaining is what a leaving balancer has not handed over.
+type Remaining struct {
 	// Copies is how many exceptions no other node is known to hold.
 	Copies int
 	// Attempts is how many flows were being opened or looked for.
@@ -81,9 +81,9 @@
 }
 
 // Undone returns what is left to hand over.
-func (b *Balancer) Undone() Undone {
+func (b *Balancer) Undone() Remaining {
 	s := b.Status()
-	return Undone{Copies: s.CopiesDue, Attempts: s.Attempts}
+	return Remaining{Copies: s.CopiesDue, Attempts: s.Attempts}
 }
 
 // Shared reports whether the nodes share the counts of their flows: there are
--- a/bronzenode/leave.go
+++ b/bronzenode/leave.go
@@ -22,7 +22,7 @@
 // Config.LeaveQuiet, at the latest after Config.LeaveLimit or when ctx is
 // done. Leave returns when Run has; undone is what no other node is known to
 // hold. Run must have been called.
-func (n *Node) Leave(ctx context.Context) (undone bronzecore.Undone, err error) {
+func (n *Node) Leave(ctx context.Context) (undone bronzecore.Remaining, err error) {
 	defer annotate(&err, "leave")
 	if n.leaving.Swap(true) {
 		return undone, ErrLeaving
@@ -73,7 +73,7 @@
 			return
 		case <-ticker.C:
 		}
-		if n.isQuiet() && n.balancer.Undone() == (bronzecore.Undone{}) {
+		if n.isQuiet() && n.balancer.Undone() == (bronzecore.Remaining{}) {
 			return
 		}
 	}
@@ -87,9 +87,9 @@
 	return time.Since(since) >= n.cfg.LeaveQuiet
 }
 
-func (n *Node) logUndone(undone bronzecore.Undone) {
+func (n *Node) logUndone(undone bronzecore.Remaining) {
 	entry := n.log.WithFields(logrus.Fields{"Copies": undone.Copies, "Attempts": undone.Attempts})
-	if undone == (bronzecore.Undone{}) {
+	if undone == (bronzecore.Remaining{}) {
 		entry.Info("left")
 		return
 	}
--- a/bronzenode/node_test.go
+++ b/bronzenode/node_test.go
@@ -53,7 +53,7 @@
 	w.ask(a, b)
 	undone, err := a.Leave(context.Background())
 	require.NoError(t, err)
-	require.Equal(t, bronzecore.Undone{}, undone)
+	require.Equal(t, bronzecore.Remaining{}, undone)
 	require.False(t, a.Ready())
 	_, err = a.Leave(context.Background())
 	require.ErrorIs(t, err, ErrLeaving)
