--- a/bronzecore/status.go
+++ b/bronzecore/status.go
@@ -80,8 +80,8 @@
 	Attempts int
 }
 
-// Undone returns what is left to hand over.
-func (b *Balancer) Undone() Remaining {
+// Remaining returns what is left to hand over.
+func (b *Balancer) Remaining() Remaining {
 	s := b.Status()
 	return Remaining{Copies: s.CopiesDue, Attempts: s.Attempts}
 }
--- a/bronzenode/leave.go
+++ b/bronzenode/leave.go
@@ -34,7 +34,7 @@
 	n.waitUntilHandedOver(limit, told)
 	cancel()
 	<-told
-	undone = n.balancer.Undone()
+	undone = n.balancer.Remaining()
 	n.end(nil)
 	<-n.done
 	n.logUndone(undone)
@@ -73,7 +73,7 @@
 			return
 		case <-ticker.C:
 		}
-		if n.isQuiet() && n.balancer.Undone() == (bronzecore.Remaining{}) {
+		if n.isQuiet() && n.balancer.Remaining() == (bronzecore.Remaining{}) {
 			return
 		}
 	}
