--- a/bronzecore/status.go
+++ b/bronzecore/status.go
@@ -93,9 +93,9 @@
 	return b.services.Load().shared.Load()
 }
 
-// Owned returns the counts of the flows that this node owns on each server,
+// OwnedFlows returns the counts of the flows that this node owns on each server,
 // to be shared with the other nodes. It is empty unless they are Shared.
-func (b *Balancer) Owned() map[bronzeflow.ServerID]uint32 {
+func (b *Balancer) OwnedFlows() map[bronzeflow.ServerID]uint32 {
 	b.init()
 	counts := make(map[bronzeflow.ServerID]uint32)
 	if !b.Shared() {
--- a/bronzenode/shares.go
+++ b/bronzenode/shares.go
@@ -55,7 +55,7 @@
 
 // load returns this node's present load.
 func (n *Node) load() (load bronzelink.Load) {
-	for id, count := range n.balancer.Owned() {
+	for id, count := range n.balancer.OwnedFlows() {
 		load.Owned = append(load.Owned, bronzelink.LoadItem{Server: id, Count: count})
 	}
 	shared := n.balancer.Shared()
--- a/cmd/bronzecost/fleet_bench_test.go
+++ b/cmd/bronzecost/fleet_bench_test.go
@@ -176,7 +176,7 @@
 				open(b, bal, d.key(i))
 			}
 			for b.Loop() {
-				bal.Owned()
+				bal.OwnedFlows()
 			}
 		})
 	}
