--- a/bronzecore/status.go
+++ b/bronzecore/status.go
@@ -107,8 +107,8 @@
 	return counts
 }
 
-// SetOwned replaces what the node origin says that it owns; nil forgets it.
-func (b *Balancer) SetOwned(origin string, counts map[bronzeflow.ServerID]uint32) {
+// SetOwnedFlows replaces what the node origin says that it owns; nil forgets it.
+func (b *Balancer) SetOwnedFlows(origin string, counts map[bronzeflow.ServerID]uint32) {
 	b.init()
 	for _, st := range b.services.Load().byName {
 		st.pool.SetOwned(origin, counts)
--- a/bronzenode/node.go
+++ b/bronzenode/node.go
@@ -226,7 +226,7 @@
 	}
 	for name := range before.view.Members {
 		if _, ok := v.Members[name]; !ok {
-			n.balancer.SetOwned(name, nil)
+			n.balancer.SetOwnedFlows(name, nil)
 			n.shares.forget(name)
 		}
 	}
--- a/bronzenode/shares.go
+++ b/bronzenode/shares.go
@@ -86,7 +86,7 @@
 	for _, item := range l.Owned {
 		counts[item.Server] = item.Count
 	}
-	n.balancer.SetOwned(l.Origin, counts)
+	n.balancer.SetOwnedFlows(l.Origin, counts)
 	for _, report := range n.shares.news(l, n.cfg.PollInterval) {
 		n.balancer.Observe(report)
 	}
--- a/cmd/bronzecost/counts_test.go
+++ b/cmd/bronzecost/counts_test.go
@@ -118,7 +118,7 @@
 	b := d.balancer(t)
 	heap := heapOf(func() *bronzecore.Balancer {
 		for _, m := range members(others) {
-			b.SetOwned(m.Name, counts)
+			b.SetOwnedFlows(m.Name, counts)
 		}
 		return b
 	})
--- a/cmd/bronzecost/fleet_bench_test.go
+++ b/cmd/bronzecost/fleet_bench_test.go
@@ -189,7 +189,7 @@
 			bal := d.balancer(b)
 			counts := d.counts(b)
 			for b.Loop() {
-				bal.SetOwned("other", counts)
+				bal.SetOwnedFlows("other", counts)
 			}
 		})
 	}
@@ -208,7 +208,7 @@
 		benchHeap(b, fmt.Sprintf("pairs=%d", n*d.hosts), func() *bronzecore.Balancer {
 			bal := d.balancer(b)
 			for i := range n {
-				bal.SetOwned(fmt.Sprint(i), counts)
+				bal.SetOwnedFlows(fmt.Sprint(i), counts)
 			}
 			return bal
 		})
