--- a/bronzecore/status.go
+++ b/bronzecore/status.go
@@ -86,9 +86,9 @@
 	return Remaining{Copies: s.CopiesDue, Attempts: s.Attempts}
 }
 
-// Shared reports whether the nodes share the counts of their flows: there are
+// SharesCounts reports whether the nodes share the counts of their flows: there are
 // at most bronzepool.MaxSharedPairs pairs of node and server.
-func (b *Balancer) Shared() bool {
+func (b *Balancer) SharesCounts() bool {
 	b.init()
 	return b.services.Load().shared.Load()
 }
@@ -98,7 +98,7 @@
 func (b *Balancer) OwnedFlows() map[bronzeflow.ServerID]uint32 {
 	b.init()
 	counts := make(map[bronzeflow.ServerID]uint32)
-	if !b.Shared() {
+	if !b.SharesCounts() {
 		return counts
 	}
 	for _, st := range b.services.Load().byName {
--- a/bronzenode/shares.go
+++ b/bronzenode/shares.go
@@ -58,7 +58,7 @@
 	for id, count := range n.balancer.OwnedFlows() {
 		load.Owned = append(load.Owned, bronzelink.LoadItem{Server: id, Count: count})
 	}
-	shared := n.balancer.Shared()
+	shared := n.balancer.SharesCounts()
 	for id, report := range n.reports.recent() {
 		if !shared && !report.Leaving {
 			// News of servers that are leaving must not queue behind figures
