--- a/bronzecore/balancer.go
+++ b/bronzecore/balancer.go
@@ -38,9 +38,9 @@
 	// CopyBytesPerSecond paces the copies of exceptions to successors,
 	// 0 means DefaultCopyBytesPerSecond, and less than 0 no copies.
 	CopyBytesPerSecond int
-	// HalfOpen and Open bound the half-open flows and all flows that this
+	// HalfOpenLimit and Open bound the half-open flows and all flows that this
 	// node owns, shared fairly among Customers; 0 means no bound.
-	HalfOpen int
+	HalfOpenLimit int
 	Open     int
 	// Lease returns the time until which the view of the fleet may be
 	// trusted. A packet that comes later finds the node fenced even if the
@@ -133,7 +133,7 @@
 		b.Timing.setDefaults()
 		b.table.Capacity = b.Capacity
 		b.table.OnEvict = b.evicted
-		b.limits.HalfOpen = b.HalfOpen
+		b.limits.HalfOpen = b.HalfOpenLimit
 		b.limits.Open = b.Open
 		b.copier.setRate(b.CopyBytesPerSecond)
 		b.teacher = rate.NewLimiter(learnBytesPerSecond, learnBurst)
--- a/bronzenode/node.go
+++ b/bronzenode/node.go
@@ -109,7 +109,7 @@
 	n.balancer.Name = n.cfg.Name
 	n.balancer.AvailabilityZone = n.cfg.AvailabilityZone
 	n.balancer.Capacity = n.cfg.Capacity
-	n.balancer.HalfOpen = maxHalfOpen
+	n.balancer.HalfOpenLimit = maxHalfOpen
 	n.balancer.Open = maxOpen
 	n.balancer.Timing = n.cfg.Timing
 	n.balancer.Lease = n.fleet.Lease
