--- a/bronzecore/balancer.go
+++ b/bronzecore/balancer.go
@@ -41,7 +41,7 @@
 	// HalfOpenLimit and Open bound the half-open flows and all flows that this
 	// node owns, shared fairly among Customers; 0 means no bound.
 	HalfOpenLimit int
-	Open     int
+	OpenLimit     int
 	// Lease returns the time until which the view of the fleet may be
 	// trusted. A packet that comes later finds the node fenced even if the
 	// view was not replaced yet. nil means that it may always be trusted.
@@ -134,7 +134,7 @@
 		b.table.Capacity = b.Capacity
 		b.table.OnEvict = b.evicted
 		b.limits.HalfOpen = b.HalfOpenLimit
-		b.limits.Open = b.Open
+		b.limits.Open = b.OpenLimit
 		b.copier.setRate(b.CopyBytesPerSecond)
 		b.teacher = rate.NewLimiter(learnBytesPerSecond, learnBurst)
 		b.rescuer = rate.NewLimiter(rescueBytesPerSecond, rescueBurst)
--- a/bronzenode/node.go
+++ b/bronzenode/node.go
@@ -110,7 +110,7 @@
 	n.balancer.AvailabilityZone = n.cfg.AvailabilityZone
 	n.balancer.Capacity = n.cfg.Capacity
 	n.balancer.HalfOpenLimit = maxHalfOpen
-	n.balancer.Open = maxOpen
+	n.balancer.OpenLimit = maxOpen
 	n.balancer.Timing = n.cfg.Timing
 	n.balancer.Lease = n.fleet.Lease
 	n.store.OnChange = n.onSnapshot
