--- a/bronzecore/balancer.go
+++ b/bronzecore/balancer.go
@@ -68,8 +68,8 @@
 
 // Timing holds the durations that a Balancer works with.
 type Timing struct {
-	// Attempt is how long a server may take to answer an opening.
-	Attempt time.Duration
+	// AttemptTimeout is how long a server may take to answer an opening.
+	AttemptTimeout time.Duration
 	// Query is how long peers may take to answer a query.
 	Query time.Duration
 	// Probe is how long a server may take to answer a probe.
@@ -114,7 +114,7 @@
 			*d = value
 		}
 	}
-	set(&t.Attempt, DefaultAttempt)
+	set(&t.AttemptTimeout, DefaultAttempt)
 	set(&t.Query, DefaultQuery)
 	set(&t.Probe, DefaultProbe)
 	set(&t.Recover, DefaultRecover)
--- a/bronzecore/place.go
+++ b/bronzecore/place.go
@@ -28,7 +28,7 @@
 	}
 	a.tried = append(a.tried, id)
 	a.phase = opening
-	a.due = d.now.Add(d.Timing.Attempt)
+	a.due = d.now.Add(d.Timing.AttemptTimeout)
 	a.committed = a.held.Payload > 0
 	e := d.ownedEntry(id, bronzeflow.Pending, first)
 	datagram := a.held.Kind == bronzeflow.Datagram
--- a/cmd/bronzeusher/serve.go
+++ b/cmd/bronzeusher/serve.go
@@ -83,7 +83,7 @@
 		Plain:            c.Plain,
 		Capacity:         c.Capacity,
 		Readers:          c.Readers,
-		Timing:           bronzecore.Timing{Attempt: c.Attempt, RetryAfter: c.RetryAfter},
+		Timing:           bronzecore.Timing{AttemptTimeout: c.Attempt, RetryAfter: c.RetryAfter},
 		Heartbeat:        c.Heartbeat,
 		JoinWait:         c.JoinWait,
 		PollInterval:     c.PollInterval,
