--- a/bronzecore/balancer.go
+++ b/bronzecore/balancer.go
@@ -96,16 +96,16 @@
 
 // The defaults of Timing.
 const (
-	DefaultAttempt    = 800 * time.Millisecond
-	DefaultQuery      = 40 * time.Millisecond
-	DefaultProbe      = 60 * time.Millisecond
-	DefaultRecover    = 3 * time.Second
-	DefaultLearned    = 30 * time.Second
-	DefaultRefresh    = time.Minute
-	DefaultClosed     = 60 * time.Second
-	DefaultUnsettled  = 5 * time.Second
-	DefaultCopyAge    = 2 * time.Second
-	DefaultRetryAfter = time.Second
+	DefaultAttemptTimeout = 800 * time.Millisecond
+	DefaultQuery          = 40 * time.Millisecond
+	DefaultProbe          = 60 * time.Millisecond
+	DefaultRecover        = 3 * time.Second
+	DefaultLearned        = 30 * time.Second
+	DefaultRefresh        = time.Minute
+	DefaultClosed         = 60 * time.Second
+	DefaultUnsettled      = 5 * time.Second
+	DefaultCopyAge        = 2 * time.Second
+	DefaultRetryAfter     = time.Second
 )
 
 func (t *Timing) setDefaults() {
@@ -114,7 +114,7 @@
 			*d = value
 		}
 	}
-	set(&t.AttemptTimeout, DefaultAttempt)
+	set(&t.AttemptTimeout, DefaultAttemptTimeout)
 	set(&t.Query, DefaultQuery)
 	set(&t.Probe, DefaultProbe)
 	set(&t.Recover, DefaultRecover)
