--- a/bronzecore/balancer.go
+++ b/bronzecore/balancer.go
@@ -70,8 +70,8 @@
 type Timing struct {
 	// AttemptTimeout is how long a server may take to answer an opening.
 	AttemptTimeout time.Duration
-	// Query is how long peers may take to answer a query.
-	Query time.Duration
+	// QueryTimeout is how long peers may take to answer a query.
+	QueryTimeout time.Duration
 	// Probe is how long a server may take to answer a probe.
 	Probe time.Duration
 	// Recover is how long a flow may stay unknown before a definite end.
@@ -115,7 +115,7 @@
 		}
 	}
 	set(&t.AttemptTimeout, DefaultAttemptTimeout)
-	set(&t.Query, DefaultQuery)
+	set(&t.QueryTimeout, DefaultQuery)
 	set(&t.Probe, DefaultProbe)
 	set(&t.Recover, DefaultRecover)
 	set(&t.Learned, DefaultLearned)
--- a/bronzecore/probe.go
+++ b/bronzecore/probe.go
@@ -80,7 +80,7 @@
 func (d *decision) queryAgain(a *attempt) {
 	d.query(a)
 	a.phase = probing
-	a.due = d.now.Add(askAgain * d.Timing.Query)
+	a.due = d.now.Add(askAgain * d.Timing.QueryTimeout)
 }
 
 // unknown ends the flow of an attempt that nobody knows. While the fleet is
--- a/bronzecore/recover.go
+++ b/bronzecore/recover.go
@@ -53,7 +53,7 @@
 // query asks the nodes that may know the flow.
 func (d *decision) query(a *attempt) {
 	a.phase = querying
-	a.due = d.now.Add(d.Timing.Query)
+	a.due = d.now.Add(d.Timing.QueryTimeout)
 	a.asked = make(map[string]struct{})
 	v := d.view.Load()
 	if v == nil {
