--- a/bronzecore/balancer.go
+++ b/bronzecore/balancer.go
@@ -97,7 +97,7 @@
 // The defaults of Timing.
 const (
 	DefaultAttemptTimeout = 800 * time.Millisecond
-	DefaultQuery          = 40 * time.Millisecond
+	DefaultQueryTimeout   = 40 * time.Millisecond
 	DefaultProbe          = 60 * time.Millisecond
 	DefaultRecover        = 3 * time.Second
 	DefaultLearned        = 30 * time.Second
@@ -115,7 +115,7 @@
 		}
 	}
 	set(&t.AttemptTimeout, DefaultAttemptTimeout)
-	set(&t.QueryTimeout, DefaultQuery)
+	set(&t.QueryTimeout, DefaultQueryTimeout)
 	set(&t.Probe, DefaultProbe)
 	set(&t.Recover, DefaultRecover)
 	set(&t.Learned, DefaultLearned)
