--- a/bronzecore/balancer.go
+++ b/bronzecore/balancer.go
@@ -72,8 +72,8 @@
 	AttemptTimeout time.Duration
 	// QueryTimeout is how long peers may take to answer a query.
 	QueryTimeout time.Duration
-	// Probe is how long a server may take to answer a probe.
-	Probe time.Duration
+	// ProbeTimeout is how long a server may take to answer a probe.
+	ProbeTimeout time.Duration
 	// Recover is how long a flow may stay unknown before a definite end.
 	Recover time.Duration
 	// Learned is how long a learned mapping may be idle before it is
@@ -116,7 +116,7 @@
 	}
 	set(&t.AttemptTimeout, DefaultAttemptTimeout)
 	set(&t.QueryTimeout, DefaultQueryTimeout)
-	set(&t.Probe, DefaultProbe)
+	set(&t.ProbeTimeout, DefaultProbe)
 	set(&t.Recover, DefaultRecover)
 	set(&t.Learned, DefaultLearned)
 	set(&t.Refresh, DefaultRefresh)
--- a/bronzecore/probe.go
+++ b/bronzecore/probe.go
@@ -27,7 +27,7 @@
 		return
 	}
 	a.phase = probing
-	a.due = d.now.Add(d.Timing.Probe)
+	a.due = d.now.Add(d.Timing.ProbeTimeout)
 	switch {
 	case d.probeNext(a):
 	case len(a.denied) >= len(a.tried):
@@ -63,7 +63,7 @@
 // cut in two 1 to 4 of 5,500 flows were lost between ends that reach each other, since
 // each server was asked once, and 0 to 1 are now (the demo, 15 s, three seeds).
 func (d *decision) probeAgain(a *attempt) {
-	if a.phase != probing || d.now.Sub(a.probedAt) < probeAgainAfter*d.Timing.Probe {
+	if a.phase != probing || d.now.Sub(a.probedAt) < probeAgainAfter*d.Timing.ProbeTimeout {
 		return
 	}
 	a.probedAt = d.now
