--- a/bronzecore/balancer.go
+++ b/bronzecore/balancer.go
@@ -98,7 +98,7 @@
 const (
 	DefaultAttemptTimeout = 800 * time.Millisecond
 	DefaultQueryTimeout   = 40 * time.Millisecond
-	DefaultProbe          = 60 * time.Millisecond
+	DefaultProbeTimeout   = 60 * time.Millisecond
 	DefaultRecover        = 3 * time.Second
 	DefaultLearned        = 30 * time.Second
 	DefaultRefresh        = time.Minute
@@ -116,7 +116,7 @@
 	}
 	set(&t.AttemptTimeout, DefaultAttemptTimeout)
 	set(&t.QueryTimeout, DefaultQueryTimeout)
-	set(&t.ProbeTimeout, DefaultProbe)
+	set(&t.ProbeTimeout, DefaultProbeTimeout)
 	set(&t.Recover, DefaultRecover)
 	set(&t.Learned, DefaultLearned)
 	set(&t.Refresh, DefaultRefresh)
