--- a/bronzecore/balancer.go
+++ b/bronzecore/balancer.go
@@ -74,8 +74,8 @@
 	QueryTimeout time.Duration
 	// ProbeTimeout is how long a server may take to answer a probe.
 	ProbeTimeout time.Duration
-	// Recover is how long a flow may stay unknown before a definite end.
-	Recover time.Duration
+	// RecoveryTimeout is how long a flow may stay unknown before a definite end.
+	RecoveryTimeout time.Duration
 	// Learned is how long a learned mapping may be idle before it is
 	// checked with the flow's owner again.
 	Learned time.Duration
@@ -117,7 +117,7 @@
 	set(&t.AttemptTimeout, DefaultAttemptTimeout)
 	set(&t.QueryTimeout, DefaultQueryTimeout)
 	set(&t.ProbeTimeout, DefaultProbeTimeout)
-	set(&t.Recover, DefaultRecover)
+	set(&t.RecoveryTimeout, DefaultRecover)
 	set(&t.Learned, DefaultLearned)
 	set(&t.Refresh, DefaultRefresh)
 	set(&t.Closed, DefaultClosed)
--- a/bronzecore/owner.go
+++ b/bronzecore/owner.go
@@ -160,7 +160,7 @@
 func (d *decision) newAttempt() *attempt {
 	a := d.shard.add(&d.packet, d.hash, d.now)
 	if a != nil {
-		a.deadline = d.now.Add(d.Timing.Recover)
+		a.deadline = d.now.Add(d.Timing.RecoveryTimeout)
 		a.disputed = d.split()
 	}
 	return a
