--- a/bronzecore/balancer.go
+++ b/bronzecore/balancer.go
@@ -96,16 +96,16 @@
 
 // The defaults of Timing.
 const (
-	DefaultAttemptTimeout = 800 * time.Millisecond
-	DefaultQueryTimeout   = 40 * time.Millisecond
-	DefaultProbeTimeout   = 60 * time.Millisecond
-	DefaultRecover        = 3 * time.Second
-	DefaultLearned        = 30 * time.Second
-	DefaultRefresh        = time.Minute
-	DefaultClosed         = 60 * time.Second
-	DefaultUnsettled      = 5 * time.Second
-	DefaultCopyAge        = 2 * time.Second
-	DefaultRetryAfter     = time.Second
+	DefaultAttemptTimeout  = 800 * time.Millisecond
+	DefaultQueryTimeout    = 40 * time.Millisecond
+	DefaultProbeTimeout    = 60 * time.Millisecond
+	DefaultRecoveryTimeout = 3 * time.Second
+	DefaultLearned         = 30 * time.Second
+	DefaultRefresh         = time.Minute
+	DefaultClosed          = 60 * time.Second
+	DefaultUnsettled       = 5 * time.Second
+	DefaultCopyAge         = 2 * time.Second
+	DefaultRetryAfter      = time.Second
 )
 
 func (t *Timing) setDefaults() {
@@ -117,7 +117,7 @@
 	set(&t.AttemptTimeout, DefaultAttemptTimeout)
 	set(&t.QueryTimeout, DefaultQueryTimeout)
 	set(&t.ProbeTimeout, DefaultProbeTimeout)
-	set(&t.RecoveryTimeout, DefaultRecover)
+	set(&t.RecoveryTimeout, DefaultRecoveryTimeout)
 	set(&t.Learned, DefaultLearned)
 	set(&t.Refresh, DefaultRefresh)
 	set(&t.Closed, DefaultClosed)
