--- a/bronzecore/balancer.go
+++ b/bronzecore/balancer.go
@@ -76,9 +76,9 @@
 	ProbeTimeout time.Duration
 	// RecoveryTimeout is how long a flow may stay unknown before a definite end.
 	RecoveryTimeout time.Duration
-	// Learned is how long a learned mapping may be idle before it is
+	// LearnedIdleTimeout is how long a learned mapping may be idle before it is
 	// checked with the flow's owner again.
-	Learned time.Duration
+	LearnedIdleTimeout time.Duration
 	// Refresh is how old a learned mapping may grow, idle or not.
 	Refresh time.Duration
 	// Closed is how long a closed flow is remembered. It has to be longer
@@ -118,7 +118,7 @@
 	set(&t.QueryTimeout, DefaultQueryTimeout)
 	set(&t.ProbeTimeout, DefaultProbeTimeout)
 	set(&t.RecoveryTimeout, DefaultRecoveryTimeout)
-	set(&t.Learned, DefaultLearned)
+	set(&t.LearnedIdleTimeout, DefaultLearned)
 	set(&t.Refresh, DefaultRefresh)
 	set(&t.Closed, DefaultClosed)
 	set(&t.Unsettled, DefaultUnsettled)
