--- a/bronzecore/balancer.go
+++ b/bronzecore/balancer.go
@@ -96,16 +96,16 @@
 
 // The defaults of Timing.
 const (
-	DefaultAttemptTimeout  = 800 * time.Millisecond
-	DefaultQueryTimeout    = 40 * time.Millisecond
-	DefaultProbeTimeout    = 60 * time.Millisecond
-	DefaultRecoveryTimeout = 3 * time.Second
-	DefaultLearned         = 30 * time.Second
-	DefaultRefresh         = time.Minute
-	DefaultClosed          = 60 * time.Second
-	DefaultUnsettled       = 5 * time.Second
-	DefaultCopyAge         = 2 * time.Second
-	DefaultRetryAfter      = time.Second
+	DefaultAttemptTimeout     = 800 * time.Millisecond
+	DefaultQueryTimeout       = 40 * time.Millisecond
+	DefaultProbeTimeout       = 60 * time.Millisecond
+	DefaultRecoveryTimeout    = 3 * time.Second
+	DefaultLearnedIdleTimeout = 30 * time.Second
+	DefaultRefresh            = time.Minute
+	DefaultClosed             = 60 * time.Second
+	DefaultUnsettled          = 5 * time.Second
+	DefaultCopyAge            = 2 * time.Second
+	DefaultRetryAfter         = time.Second
 )
 
 func (t *Timing) setDefaults() {
@@ -118,7 +118,7 @@
 	set(&t.QueryTimeout, DefaultQueryTimeout)
 	set(&t.ProbeTimeout, DefaultProbeTimeout)
 	set(&t.RecoveryTimeout, DefaultRecoveryTimeout)
-	set(&t.LearnedIdleTimeout, DefaultLearned)
+	set(&t.LearnedIdleTimeout, DefaultLearnedIdleTimeout)
 	set(&t.Refresh, DefaultRefresh)
 	set(&t.Closed, DefaultClosed)
 	set(&t.Unsettled, DefaultUnsettled)
