--- a/bronzecore/balancer.go
+++ b/bronzecore/balancer.go
@@ -79,8 +79,8 @@
 	// LearnedIdleTimeout is how long a learned mapping may be idle before it is
 	// checked with the flow's owner again.
 	LearnedIdleTimeout time.Duration
-	// Refresh is how old a learned mapping may grow, idle or not.
-	Refresh time.Duration
+	// LearnedMaxAge is how old a learned mapping may grow, idle or not.
+	LearnedMaxAge time.Duration
 	// Closed is how long a closed flow is remembered. It has to be longer
 	// than Learned.
 	Closed time.Duration
@@ -119,7 +119,7 @@
 	set(&t.ProbeTimeout, DefaultProbeTimeout)
 	set(&t.RecoveryTimeout, DefaultRecoveryTimeout)
 	set(&t.LearnedIdleTimeout, DefaultLearnedIdleTimeout)
-	set(&t.Refresh, DefaultRefresh)
+	set(&t.LearnedMaxAge, DefaultRefresh)
 	set(&t.Closed, DefaultClosed)
 	set(&t.Unsettled, DefaultUnsettled)
 	set(&t.CopyAge, DefaultCopyAge)
--- a/bronzecore/entry.go
+++ b/bronzecore/entry.go
@@ -26,7 +26,7 @@
 	}
 	// The owner remembers a closed flow for longer than Learned, so a key
 	// that is used again can't have moved while this entry was trusted.
-	return s-e.Used <= toSeconds(b.Timing.LearnedIdleTimeout) && s-e.Opened <= toSeconds(b.Timing.Refresh)
+	return s-e.Used <= toSeconds(b.Timing.LearnedIdleTimeout) && s-e.Opened <= toSeconds(b.Timing.LearnedMaxAge)
 }
 
 // ownedEntry returns a new entry of the flow for this node as its owner;
--- a/bronzecore/sweep.go
+++ b/bronzecore/sweep.go
@@ -109,7 +109,7 @@
 	}
 	// Packets that go straight through other nodes are seen here once in
 	// Timing.Refresh.
-	return idle > toSeconds(idleTimeout(svc.IdleTimeout)+b.Timing.Refresh)
+	return idle > toSeconds(idleTimeout(svc.IdleTimeout)+b.Timing.LearnedMaxAge)
 }
 
 func idleTimeout(d time.Duration) time.Duration {
