--- a/bronzecore/balancer.go
+++ b/bronzecore/balancer.go
@@ -101,7 +101,7 @@
 	DefaultProbeTimeout       = 60 * time.Millisecond
 	DefaultRecoveryTimeout    = 3 * time.Second
 	DefaultLearnedIdleTimeout = 30 * time.Second
-	DefaultRefresh            = time.Minute
+	DefaultLearnedMaxAge      = time.Minute
 	DefaultClosed             = 60 * time.Second
 	DefaultUnsettled          = 5 * time.Second
 	DefaultCopyAge            = 2 * time.Second
@@ -119,7 +119,7 @@
 	set(&t.ProbeTimeout, DefaultProbeTimeout)
 	set(&t.RecoveryTimeout, DefaultRecoveryTimeout)
 	set(&t.LearnedIdleTimeout, DefaultLearnedIdleTimeout)
-	set(&t.LearnedMaxAge, DefaultRefresh)
+	set(&t.LearnedMaxAge, DefaultLearnedMaxAge)
 	set(&t.Closed, DefaultClosed)
 	set(&t.Unsettled, DefaultUnsettled)
 	set(&t.CopyAge, DefaultCopyAge)
