--- a/bronzecore/balancer.go
+++ b/bronzecore/balancer.go
@@ -81,9 +81,9 @@
 	LearnedIdleTimeout time.Duration
 	// LearnedMaxAge is how old a learned mapping may grow, idle or not.
 	LearnedMaxAge time.Duration
-	// Closed is how long a closed flow is remembered. It has to be longer
+	// ClosedRetention is how long a closed flow is remembered. It has to be longer
 	// than Learned.
-	Closed time.Duration
+	ClosedRetention time.Duration
 	// Unsettled is for how long after a change of ownership the previous
 	// owners are asked before a flow is placed. It has to be longer than an
 	// opening may be pending at one of them.
@@ -120,7 +120,7 @@
 	set(&t.RecoveryTimeout, DefaultRecoveryTimeout)
 	set(&t.LearnedIdleTimeout, DefaultLearnedIdleTimeout)
 	set(&t.LearnedMaxAge, DefaultLearnedMaxAge)
-	set(&t.Closed, DefaultClosed)
+	set(&t.ClosedRetention, DefaultClosed)
 	set(&t.Unsettled, DefaultUnsettled)
 	set(&t.CopyAge, DefaultCopyAge)
 	set(&t.RetryAfter, DefaultRetryAfter)
--- a/bronzecore/sweep.go
+++ b/bronzecore/sweep.go
@@ -97,7 +97,7 @@
 	idle := b.seconds(now) - e.Used
 	switch {
 	case e.State == bronzeflow.Closed:
-		return idle > toSeconds(b.Timing.Closed)
+		return idle > toSeconds(b.Timing.ClosedRetention)
 	case e.Flags&bronzeflow.Owned == 0:
 		return !b.trusted(e, now)
 	case e.State == bronzeflow.Pending:
@@ -105,7 +105,7 @@
 	}
 	svc := b.services.Load().snapshot.Match(k)
 	if svc == nil {
-		return idle > toSeconds(b.Timing.Closed)
+		return idle > toSeconds(b.Timing.ClosedRetention)
 	}
 	// Packets that go straight through other nodes are seen here once in
 	// Timing.Refresh.
