--- a/bronzecore/balancer.go
+++ b/bronzecore/balancer.go
@@ -102,7 +102,7 @@
 	DefaultRecoveryTimeout    = 3 * time.Second
 	DefaultLearnedIdleTimeout = 30 * time.Second
 	DefaultLearnedMaxAge      = time.Minute
-	DefaultClosed             = 60 * time.Second
+	DefaultClosedRetention    = 60 * time.Second
 	DefaultUnsettled          = 5 * time.Second
 	DefaultCopyAge            = 2 * time.Second
 	DefaultRetryAfter         = time.Second
@@ -120,7 +120,7 @@
 	set(&t.RecoveryTimeout, DefaultRecoveryTimeout)
 	set(&t.LearnedIdleTimeout, DefaultLearnedIdleTimeout)
 	set(&t.LearnedMaxAge, DefaultLearnedMaxAge)
-	set(&t.ClosedRetention, DefaultClosed)
+	set(&t.ClosedRetention, DefaultClosedRetention)
 	set(&t.Unsettled, DefaultUnsettled)
 	set(&t.CopyAge, DefaultCopyAge)
 	set(&t.RetryAfter, DefaultRetryAfter)
