--- a/bronzecore/balancer.go
+++ b/bronzecore/balancer.go
@@ -84,10 +84,10 @@
 	// ClosedRetention is how long a closed flow is remembered. It has to be longer
 	// than Learned.
 	ClosedRetention time.Duration
-	// Unsettled is for how long after a change of ownership the previous
+	// UnsettledPeriod is for how long after a change of ownership the previous
 	// owners are asked before a flow is placed. It has to be longer than an
 	// opening may be pending at one of them.
-	Unsettled time.Duration
+	UnsettledPeriod time.Duration
 	// CopyAge is how old an exception has to be to be worth a copy.
 	CopyAge time.Duration
 	// RetryAfter is what a refused caller is told to wait.
@@ -121,7 +121,7 @@
 	set(&t.LearnedIdleTimeout, DefaultLearnedIdleTimeout)
 	set(&t.LearnedMaxAge, DefaultLearnedMaxAge)
 	set(&t.ClosedRetention, DefaultClosedRetention)
-	set(&t.Unsettled, DefaultUnsettled)
+	set(&t.UnsettledPeriod, DefaultUnsettled)
 	set(&t.CopyAge, DefaultCopyAge)
 	set(&t.RetryAfter, DefaultRetryAfter)
 }
--- a/bronzecore/owner.go
+++ b/bronzecore/owner.go
@@ -143,7 +143,7 @@
 		return
 	}
 	v := d.view.Load()
-	if v == nil || !v.Unsettled(d.hash, d.Timing.Unsettled) {
+	if v == nil || !v.Unsettled(d.hash, d.Timing.UnsettledPeriod) {
 		d.place(a, 0)
 		return
 	}
--- a/bronzecore/server.go
+++ b/bronzecore/server.go
@@ -246,7 +246,7 @@
 	if d.table.Put(&d.packet.Key, d.hash, e) {
 		d.service.adopted(e)
 	}
-	if v := d.view.Load(); v != nil && v.Unsettled(d.hash, d.Timing.Unsettled) {
+	if v := d.view.Load(); v != nil && v.Unsettled(d.hash, d.Timing.UnsettledPeriod) {
 		// The former owner still counts the flow; a query hands it over.
 		d.query(&attempt{key: d.packet.Key, hash: d.hash})
 	}
