--- a/bronzecore/balancer.go
+++ b/bronzecore/balancer.go
@@ -103,7 +103,7 @@
 	DefaultLearnedIdleTimeout = 30 * time.Second
 	DefaultLearnedMaxAge      = time.Minute
 	DefaultClosedRetention    = 60 * time.Second
-	DefaultUnsettled          = 5 * time.Second
+	DefaultUnsettledPeriod    = 5 * time.Second
 	DefaultCopyAge            = 2 * time.Second
 	DefaultRetryAfter         = time.Second
 )
@@ -121,7 +121,7 @@
 	set(&t.LearnedIdleTimeout, DefaultLearnedIdleTimeout)
 	set(&t.LearnedMaxAge, DefaultLearnedMaxAge)
 	set(&t.ClosedRetention, DefaultClosedRetention)
-	set(&t.UnsettledPeriod, DefaultUnsettled)
+	set(&t.UnsettledPeriod, DefaultUnsettledPeriod)
 	set(&t.CopyAge, DefaultCopyAge)
 	set(&t.RetryAfter, DefaultRetryAfter)
 }
--- a/cmd/bronzecost/model.go
+++ b/cmd/bronzecost/model.go
@@ -156,7 +156,7 @@
 // openingBytes returns those of openings that are asked of former owners
 // before they are placed.
 func (m *model) openingBytes() float64 {
-	asked := nodeOpens * bronzecore.DefaultUnsettled.Seconds() * formerQueries
+	asked := nodeOpens * bronzecore.DefaultUnsettledPeriod.Seconds() * formerQueries
 	return viewChanges * asked * m.queryBytes() / targetNodes
 }
 
