--- a/bronzecore/balancer.go
+++ b/bronzecore/balancer.go
@@ -88,8 +88,8 @@
 	// owners are asked before a flow is placed. It has to be longer than an
 	// opening may be pending at one of them.
 	UnsettledPeriod time.Duration
-	// CopyAge is how old an exception has to be to be worth a copy.
-	CopyAge time.Duration
+	// MinCopyAge is how old an exception has to be to be worth a copy.
+	MinCopyAge time.Duration
 	// RetryAfter is what a refused caller is told to wait.
 	RetryAfter time.Duration
 }
@@ -122,7 +122,7 @@
 	set(&t.LearnedMaxAge, DefaultLearnedMaxAge)
 	set(&t.ClosedRetention, DefaultClosedRetention)
 	set(&t.UnsettledPeriod, DefaultUnsettledPeriod)
-	set(&t.CopyAge, DefaultCopyAge)
+	set(&t.MinCopyAge, DefaultCopyAge)
 	set(&t.RetryAfter, DefaultRetryAfter)
 }
 
--- a/bronzecore/copy.go
+++ b/bronzecore/copy.go
@@ -265,7 +265,7 @@
 // sendCopies sends what the pace allows.
 func (b *Balancer) sendCopies(now time.Time, out []Action) []Action {
 	b.copier.overdue(now)
-	age := toSeconds(b.Timing.CopyAge)
+	age := toSeconds(b.Timing.MinCopyAge)
 	if b.leaving.Load() {
 		age = 0
 	}
--- a/bronzecore/message.go
+++ b/bronzecore/message.go
@@ -66,7 +66,7 @@
 		d.teachAll(e)
 		return
 	}
-	if peer == "" || d.seconds(d.now)-e.Opened < toSeconds(d.Timing.CopyAge) || !d.teacher.AllowN(d.now, learnBytes) {
+	if peer == "" || d.seconds(d.now)-e.Opened < toSeconds(d.Timing.MinCopyAge) || !d.teacher.AllowN(d.now, learnBytes) {
 		return
 	}
 	m := mapping(d.packet.Key, e)
