--- a/bronzecore/balancer.go
+++ b/bronzecore/balancer.go
@@ -104,7 +104,7 @@
 	DefaultLearnedMaxAge      = time.Minute
 	DefaultClosedRetention    = 60 * time.Second
 	DefaultUnsettledPeriod    = 5 * time.Second
-	DefaultCopyAge            = 2 * time.Second
+	DefaultMinCopyAge         = 2 * time.Second
 	DefaultRetryAfter         = time.Second
 )
 
@@ -122,7 +122,7 @@
 	set(&t.LearnedMaxAge, DefaultLearnedMaxAge)
 	set(&t.ClosedRetention, DefaultClosedRetention)
 	set(&t.UnsettledPeriod, DefaultUnsettledPeriod)
-	set(&t.MinCopyAge, DefaultCopyAge)
+	set(&t.MinCopyAge, DefaultMinCopyAge)
 	set(&t.RetryAfter, DefaultRetryAfter)
 }
 
