--- a/bronzecore/attempt.go
+++ b/bronzecore/attempt.go
@@ -34,23 +34,23 @@
 	tried []bronzeflow.ServerID
 	// denied are the probed servers that don't know the flow.
 	denied []bronzeflow.ServerID
-	// probedAt is when servers were last probed.
-	probedAt time.Time
-	// asked are the nodes whose answer is outstanding.
-	asked map[string]struct{}
+	// lastProbed is when servers were last probed.
+	lastProbed time.Time
+	// outstanding are the nodes whose answer is outstanding.
+	outstanding map[string]struct{}
 	// widened is set once more nodes than the former owners are asked.
 	widened bool
-	// belief is an entry from before a pause, used if nobody knows better.
-	belief bronzeflow.Entry
+	// stale is an entry from before a pause, used if nobody knows better.
+	stale bronzeflow.Entry
 	// committed is set once payload was forwarded.
 	committed bool
-	// disputed is set if the fleet was split when the attempt began or placed
+	// partitioned is set if the fleet was split when the attempt began or placed
 	// its flow: the other side may know the flow.
-	disputed bool
-	started  time.Time
-	// due is when the phase times out; deadline when the attempt gives up.
-	due      time.Time
-	deadline time.Time
+	partitioned bool
+	started     time.Time
+	// phaseDeadline is when the phase times out; deadline when the attempt gives up.
+	phaseDeadline time.Time
+	deadline      time.Time
 }
 
 func (a *attempt) server() bronzeflow.ServerID {
@@ -60,9 +60,9 @@
 	return a.tried[len(a.tried)-1]
 }
 
-// silent returns the probed server that has not answered, if there is one
+// soleUnanswered returns the probed server that has not answered, if there is one
 // only. Otherwise it returns 0.
-func (a *attempt) silent() (id bronzeflow.ServerID) {
+func (a *attempt) soleUnanswered() (id bronzeflow.ServerID) {
 	if len(a.denied) != len(a.tried)-1 {
 		return 0
 	}
--- a/bronzecore/balancer.go
+++ b/bronzecore/balancer.go
@@ -47,13 +47,13 @@
 	// view was not replaced yet. nil means that it may always be trusted.
 	Lease func() time.Time
 
-	once     sync.Once
-	started  time.Time
-	services atomic.Pointer[serviceSet]
-	view     atomic.Pointer[bronzefleet.View]
-	woke     atomic.Uint32
-	leaving  atomic.Bool
-	update   sync.Mutex // serializes SetSnapshot and SetView
+	once       sync.Once
+	started    time.Time
+	services   atomic.Pointer[serviceSet]
+	view       atomic.Pointer[bronzefleet.View]
+	unfencedAt atomic.Uint32
+	leaving    atomic.Bool
+	update     sync.Mutex // serializes SetSnapshot and SetView
 
 	limits bronzepool.Admission
 	table  bronzeflow.Table
@@ -61,9 +61,9 @@
 	copies copyStore
 	copier copier
 	sweep  sweeper
-	// teacher and rescuer pace Learn messages.
-	teacher *rate.Limiter
-	rescuer *rate.Limiter
+	// learnLimiter and rescuer pace Learn messages.
+	learnLimiter      *rate.Limiter
+	retransmitLimiter *rate.Limiter
 }
 
 // Timing holds the durations that a Balancer works with.
@@ -132,12 +132,12 @@
 		b.started = time.Now()
 		b.Timing.setDefaults()
 		b.table.Capacity = b.Capacity
-		b.table.OnEvict = b.evicted
+		b.table.OnEvict = b.onEvict
 		b.limits.HalfOpen = b.HalfOpenLimit
 		b.limits.Open = b.OpenLimit
 		b.copier.setRate(b.CopyBytesPerSecond)
-		b.teacher = rate.NewLimiter(learnBytesPerSecond, learnBurst)
-		b.rescuer = rate.NewLimiter(rescueBytesPerSecond, rescueBurst)
+		b.learnLimiter = rate.NewLimiter(learnBytesPerSecond, learnBurst)
+		b.retransmitLimiter = rate.NewLimiter(retransmitLearnBytesPerSecond, retransmitLearnBurst)
 		b.services.Store(&serviceSet{})
 	})
 }
@@ -168,7 +168,7 @@
 		return
 	}
 	b.services.Store(set.next(s, &b.limits, b.owners(), b.AvailabilityZone))
-	b.sweep.again()
+	b.sweep.startFastRound()
 }
 
 // SetView puts a view of the fleet in force.
@@ -178,11 +178,11 @@
 	defer b.update.Unlock()
 	old := b.view.Load()
 	if old != nil && old.Fenced && !v.Fenced {
-		b.woke.Store(b.seconds(b.clock()))
+		b.unfencedAt.Store(b.seconds(b.clock()))
 	}
 	b.view.Store(v)
 	b.services.Load().setOwners(b.owners())
-	b.sweep.again()
+	b.sweep.startFastRound()
 }
 
 // owners returns how many nodes place flows.
@@ -199,7 +199,7 @@
 func (b *Balancer) Leave() {
 	b.init()
 	b.leaving.Store(true)
-	b.sweep.again()
+	b.sweep.startFastRound()
 }
 
 // fenced reports whether this node has to check its beliefs with its peers
@@ -221,11 +221,11 @@
 	return v.Owner(hash)
 }
 
-// keeper returns the node that finds the server of an established flow: the
+// recoveryNode returns the node that finds the server of an established flow: the
 // owner, or while the owner is suspected to be dead the next in line that is
 // not. Finding moves no flow, so it need not wait until the owner is known to
 // be dead; its callers would have given up by then. Openings do wait.
-func (b *Balancer) keeper(v *bronzefleet.View, hash uint64) string {
+func (b *Balancer) recoveryNode(v *bronzefleet.View, hash uint64) string {
 	owner := b.owner(v, hash)
 	if v == nil || v.Members[owner].Status != bronzelink.Suspect {
 		return owner
--- a/bronzecore/caller.go
+++ b/bronzecore/caller.go
@@ -27,20 +27,20 @@
 	e, ok := d.entry()
 	if ok && p.Kind != bronzeflow.Open && d.trusted(e, d.now) && e.State != bronzeflow.Pending {
 		d.touch(e)
-		d.pinned(e, peer)
+		d.forwardPinned(e, peer)
 		return
 	}
 	switch p.Kind {
 	case bronzeflow.Open, bronzeflow.Data, bronzeflow.Datagram, bronzeflow.Close, bronzeflow.Reset:
-		d.unpinned(e, ok)
+		d.handleUnpinned(e, ok)
 	default:
 		d.drop(InvalidPacket)
 	}
 }
 
-// pinned forwards a packet of a flow whose server is known. peer is the node
+// forwardPinned forwards a packet of a flow whose server is known. peer is the node
 // that relayed it, if that may be taught.
-func (d *decision) pinned(e bronzeflow.Entry, peer string) {
+func (d *decision) forwardPinned(e bronzeflow.Entry, peer string) {
 	p := &d.packet
 	if !d.inForce(e.Server) {
 		d.serverGone()
@@ -60,10 +60,10 @@
 	d.forward(e.Server, None)
 	if p.Kind == bronzeflow.Close || p.Kind == bronzeflow.Reset {
 		d.markEnded(bronzeflow.CallerClosed, p.Kind == bronzeflow.Reset)
-		d.note(e, Relay)
+		d.notifyOwner(e, Relay)
 		return
 	}
-	d.teach(e, peer)
+	d.sendLearn(e, peer)
 }
 
 // echoWindow is how far a caller's first packets may have acknowledged past
@@ -82,9 +82,9 @@
 	d.abort(ServerGone)
 }
 
-// unpinned decides on a caller's packet whose flow is not known here, or
+// handleUnpinned decides on a caller's packet whose flow is not known here, or
 // whose entry may not be trusted.
-func (d *decision) unpinned(e bronzeflow.Entry, known bool) {
+func (d *decision) handleUnpinned(e bronzeflow.Entry, known bool) {
 	if !d.match() {
 		d.drop(NoService)
 		return
@@ -94,7 +94,7 @@
 		d.drop(Fenced)
 		return
 	}
-	if owner := d.decider(v, d.hash, d.packet.Kind); owner != d.Name {
+	if owner := d.decidingNode(v, d.hash, d.packet.Kind); owner != d.Name {
 		if known {
 			d.dropLearned(e)
 		}
@@ -105,24 +105,24 @@
 		d.drop(NotReady)
 		return
 	}
-	d.own()
+	d.decideAsOwner()
 }
 
-// decider returns the node that decides on a packet of a flow that is not
+// decidingNode returns the node that decides on a packet of a flow that is not
 // known here.
-func (b *Balancer) decider(v *bronzefleet.View, hash uint64, k bronzeflow.Kind) string {
+func (b *Balancer) decidingNode(v *bronzefleet.View, hash uint64, k bronzeflow.Kind) string {
 	switch k {
 	case bronzeflow.Data, bronzeflow.Close, bronzeflow.Reset:
-		return b.keeper(v, hash)
+		return b.recoveryNode(v, hash)
 	default:
 		return b.owner(v, hash)
 	}
 }
 
-// note sends the owner a copy of a packet that ended a direction of its flow
+// notifyOwner sends the owner a copy of a packet that ended a direction of its flow
 // and went straight to its other end. Without it the owner would count the
 // flow until it expires, and its server would look busy.
-func (d *decision) note(e bronzeflow.Entry, kind ActionKind) {
+func (d *decision) notifyOwner(e bronzeflow.Entry, kind ActionKind) {
 	owner := d.owner(d.view.Load(), d.hash)
 	if e.Flags&bronzeflow.Owned != 0 || owner == d.Name {
 		return
--- a/bronzecore/copy.go
+++ b/bronzecore/copy.go
@@ -20,11 +20,11 @@
 	// what it takes, and in a large fleet nearly all travel alone.
 	copyMessageBytes = 60
 	copyItemBytes    = 20
-	// copyBatch is the most items in one message: it fits a datagram.
-	copyBatch = 48
-	// copyResend is after how long an item without acknowledgement goes
+	// maxCopyBatch is the most items in one message: it fits a datagram.
+	maxCopyBatch = 48
+	// copyResendInterval is after how long an item without acknowledgement goes
 	// again.
-	copyResend = time.Second
+	copyResendInterval = time.Second
 	// copyShards divides the copies held for other owners.
 	copyShards = 64
 )
@@ -87,32 +87,32 @@
 	return n
 }
 
-// waiting is an exception that is to be copied.
-type waiting struct {
-	key  bronzeflow.Key
-	hash uint64
-	from uint32 // the second at which the flow was opened
+// pendingCopy is an exception that is to be copied.
+type pendingCopy struct {
+	key      bronzeflow.Key
+	hash     uint64
+	openedAt uint32 // the second at which the flow was opened
 }
 
-// sent is a copy that has not been acknowledged.
-type sent struct {
-	key  bronzeflow.Key
-	peer string
-	at   time.Time
-	gone bool
-	id   bronzeflow.ServerID
+// unackedCopy is a copy that has not been acknowledged.
+type unackedCopy struct {
+	key     bronzeflow.Key
+	peer    string
+	sentAt  time.Time
+	removal bool
+	id      bronzeflow.ServerID
 }
 
 // copier paces the copies of this owner's exceptions to their successors:
 // the oldest flows first, since those that lived long live longest.
 type copier struct {
-	mu      sync.Mutex
-	rate    float64
-	tokens  float64
-	refill  time.Time
-	queue   []waiting
-	unacked map[uint64]sent
-	gones   []bronzelink.CopyItem
+	mu       sync.Mutex
+	rate     float64
+	tokens   float64
+	refill   time.Time
+	queue    []pendingCopy
+	unacked  map[uint64]unackedCopy
+	removals []bronzelink.CopyItem
 }
 
 func (c *copier) setRate(bytesPerSecond int) {
@@ -129,16 +129,16 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.queue = append(c.queue, waiting{key: key, hash: hash, from: from})
+	c.queue = append(c.queue, pendingCopy{key: key, hash: hash, openedAt: from})
 }
 
-// gone queues the end of a copied exception. It is acknowledged like a copy:
+// queueRemoval queues the end of a copied exception. It is acknowledged like a copy:
 // a copy that outlived its flow would name the wrong server for the next flow
 // under the same key, if that flow's owner died.
-func (c *copier) gone(hash uint64, id bronzeflow.ServerID) {
+func (c *copier) queueRemoval(hash uint64, id bronzeflow.ServerID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.gones = append(c.gones, bronzelink.CopyItem{Hash: hash, Server: id, Gone: true})
+	c.removals = append(c.removals, bronzelink.CopyItem{Hash: hash, Server: id, Gone: true})
 }
 
 // pending returns how many copies are queued or unacknowledged.
@@ -148,12 +148,12 @@
 	return len(c.queue) + len(c.unacked)
 }
 
-// take returns what may be sent now: the exceptions that were open at the
+// takeDue returns what may be sent now: the exceptions that were open at the
 // second before, and ends; successor names the node that each goes to. It
 // returns nothing until a second's worth is saved up: when much is waiting,
 // what goes to one node then travels together, which takes down to a quarter
 // of the bytes; when little is, a second's worth is saved up soon again.
-func (c *copier) take(now time.Time, before uint32, successor func(hash uint64) string) (items []waiting, gones []bronzelink.CopyItem) {
+func (c *copier) takeDue(now time.Time, before uint32, successor func(hash uint64) string) (items []pendingCopy, gones []bronzelink.CopyItem) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.refill.IsZero() {
@@ -167,13 +167,13 @@
 	}
 	batches := make(map[string]int)
 	n := 0
-	for n < len(c.gones) && c.pay(batches, successor(c.gones[n].Hash)) {
+	for n < len(c.removals) && c.reserve(batches, successor(c.removals[n].Hash)) {
 		n++
 	}
-	gones = append(gones, c.gones[:n]...)
-	c.gones = c.gones[n:]
+	gones = append(gones, c.removals[:n]...)
+	c.removals = c.removals[n:]
 	n = 0
-	for n < len(c.queue) && c.queue[n].from <= before && c.pay(batches, successor(c.queue[n].hash)) {
+	for n < len(c.queue) && c.queue[n].openedAt <= before && c.reserve(batches, successor(c.queue[n].hash)) {
 		n++
 	}
 	items = append(items, c.queue[:n]...)
@@ -181,14 +181,14 @@
 	return items, gones
 }
 
-// pay takes the bytes of one more item for peer, if they are saved up;
+// reserve takes the bytes of one more item for peer, if they are saved up;
 // batches counts the items that go to each node.
-func (c *copier) pay(batches map[string]int, peer string) bool {
+func (c *copier) reserve(batches map[string]int, peer string) bool {
 	if peer == "" {
 		return true // it is not sent
 	}
 	price := float64(copyItemBytes)
-	if batches[peer]%copyBatch == 0 {
+	if batches[peer]%maxCopyBatch == 0 {
 		price += copyMessageBytes
 	}
 	if c.tokens < price {
@@ -199,30 +199,30 @@
 	return true
 }
 
-// noteSent remembers a copy until it is acknowledged.
-func (c *copier) noteSent(hash uint64, s sent) {
+// trackUnacked remembers a copy until it is acknowledged.
+func (c *copier) trackUnacked(hash uint64, s unackedCopy) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.unacked == nil {
-		c.unacked = make(map[uint64]sent)
+		c.unacked = make(map[uint64]unackedCopy)
 	}
 	c.unacked[hash] = s
 }
 
-// overdue queues copies without acknowledgement again.
-func (c *copier) overdue(now time.Time) {
+// requeueOverdue queues copies without acknowledgement again.
+func (c *copier) requeueOverdue(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for hash, s := range c.unacked {
-		if now.Sub(s.at) < copyResend {
+		if now.Sub(s.sentAt) < copyResendInterval {
 			continue
 		}
 		delete(c.unacked, hash)
-		if s.gone {
-			c.gones = append(c.gones, bronzelink.CopyItem{Hash: hash, Server: s.id, Gone: true})
+		if s.removal {
+			c.removals = append(c.removals, bronzelink.CopyItem{Hash: hash, Server: s.id, Gone: true})
 			continue
 		}
-		c.queue = append(c.queue, waiting{key: s.key, hash: hash})
+		c.queue = append(c.queue, pendingCopy{key: s.key, hash: hash})
 	}
 }
 
@@ -236,7 +236,7 @@
 			continue
 		}
 		delete(c.unacked, hash)
-		if !s.gone {
+		if !s.removal {
 			keys = append(keys, s.key)
 		}
 	}
@@ -264,30 +264,30 @@
 
 // sendCopies sends what the pace allows.
 func (b *Balancer) sendCopies(now time.Time, out []Action) []Action {
-	b.copier.overdue(now)
+	b.copier.requeueOverdue(now)
 	age := toSeconds(b.Timing.MinCopyAge)
 	if b.leaving.Load() {
 		age = 0
 	}
-	items, gones := b.copier.take(now, b.seconds(now)-min(age, b.seconds(now)), b.successor)
+	items, gones := b.copier.takeDue(now, b.seconds(now)-min(age, b.seconds(now)), b.successor)
 	batches := make(map[string][]bronzelink.CopyItem)
 	for _, w := range items {
 		if peer := b.successor(w.hash); peer != "" {
 			if item, ok := b.copyOf(&w); ok {
 				batches[peer] = append(batches[peer], item)
-				b.copier.noteSent(w.hash, sent{key: w.key, peer: peer, at: now})
+				b.copier.trackUnacked(w.hash, unackedCopy{key: w.key, peer: peer, sentAt: now})
 			}
 		}
 	}
 	for _, g := range gones {
 		if peer := b.successor(g.Hash); peer != "" {
 			batches[peer] = append(batches[peer], g)
-			b.copier.noteSent(g.Hash, sent{peer: peer, at: now, gone: true, id: g.Server})
+			b.copier.trackUnacked(g.Hash, unackedCopy{peer: peer, sentAt: now, removal: true, id: g.Server})
 		}
 	}
 	for peer, batch := range batches {
 		for len(batch) > 0 {
-			n := min(len(batch), copyBatch)
+			n := min(len(batch), maxCopyBatch)
 			m := &bronzelink.FlowMessage{Copies: batch[:n]}
 			out = append(out, Action{Kind: Send, Peer: peer, Message: m})
 			batch = batch[n:]
@@ -297,7 +297,7 @@
 }
 
 // copyOf returns the copy of a flow that is still an established exception.
-func (b *Balancer) copyOf(w *waiting) (item bronzelink.CopyItem, ok bool) {
+func (b *Balancer) copyOf(w *pendingCopy) (item bronzelink.CopyItem, ok bool) {
 	const want = bronzeflow.Owned | bronzeflow.Exception
 	e, ok := b.table.Get(&w.key, w.hash)
 	if !ok || e.Flags&want != want || e.State != bronzeflow.Established {
@@ -306,8 +306,8 @@
 	return bronzelink.CopyItem{Hash: w.hash, Server: e.Server}, true
 }
 
-// copied keeps the exceptions of another owner and acknowledges them.
-func (b *Balancer) copied(items []bronzelink.CopyItem, peer string, out []Action) []Action {
+// handleCopies keeps the exceptions of another owner and acknowledges them.
+func (b *Balancer) handleCopies(items []bronzelink.CopyItem, peer string, out []Action) []Action {
 	acks := make([]uint64, 0, len(items))
 	for _, i := range items {
 		if i.Gone {
@@ -320,7 +320,7 @@
 	return append(out, Action{Kind: Send, Peer: peer, Message: &bronzelink.FlowMessage{CopyAcks: acks}})
 }
 
-func (b *Balancer) acknowledged(hashes []uint64) {
+func (b *Balancer) handleCopyAcks(hashes []uint64) {
 	for _, key := range b.copier.acknowledge(hashes) {
 		b.table.Update(&key, key.Hash(), func(e *bronzeflow.Entry) { e.Flags |= bronzeflow.Copied })
 	}
--- a/bronzecore/decision.go
+++ b/bronzecore/decision.go
@@ -25,8 +25,8 @@
 	set *serviceSet
 }
 
-// about makes the flow of a message the one that is decided on.
-func (d *decision) about(key *bronzeflow.Key) {
+// setFlow makes the flow of a message the one that is decided on.
+func (d *decision) setFlow(key *bronzeflow.Key) {
 	d.packet.Key = *key
 	d.hash = key.Hash()
 }
@@ -66,9 +66,9 @@
 	d.out = append(d.out, a)
 }
 
-// pass adds an action with the packet. It is filled in where it lies, since
+// addPacketAction adds an action with the packet. It is filled in where it lies, since
 // one more copy of an Action shows in what a packet of a pinned flow costs.
-func (d *decision) pass(k ActionKind, id bronzeflow.ServerID, r Reason) {
+func (d *decision) addPacketAction(k ActionKind, id bronzeflow.ServerID, r Reason) {
 	d.out = append(d.out, Action{})
 	a := &d.out[len(d.out)-1]
 	a.Kind = k
@@ -78,15 +78,15 @@
 }
 
 func (d *decision) drop(r Reason) {
-	d.pass(Drop, 0, r)
+	d.addPacketAction(Drop, 0, r)
 }
 
 func (d *decision) forward(id bronzeflow.ServerID, r Reason) {
-	d.pass(Forward, id, r)
+	d.addPacketAction(Forward, id, r)
 }
 
 func (d *decision) reply(id bronzeflow.ServerID) {
-	d.pass(Reply, id, None)
+	d.addPacketAction(Reply, id, None)
 }
 
 func (d *decision) send(peer string, m *bronzelink.FlowMessage) {
@@ -107,31 +107,31 @@
 
 // refuse gives the caller of the packet its refusal.
 func (d *decision) refuse(r Reason) {
-	d.add(d.refusal(&d.packet, r))
+	d.add(d.refuseAction(&d.packet, r))
 }
 
 // abort gives the caller of the packet its abortion.
 func (d *decision) abort(r Reason) {
-	d.add(d.abortion(&d.packet, r))
+	d.add(d.abortAction(&d.packet, r))
 }
 
-// refusal is the final answer to a caller none of whose payload was
+// refuseAction is the final answer to a caller none of whose payload was
 // forwarded. While the fleet is split, the other side may have opened the
 // same flow and run requests of it, so no such claim is made.
-func (b *Balancer) refusal(p *bronzeflow.Packet, r Reason) Action {
-	if b.split() {
-		return b.abortion(p, r)
+func (b *Balancer) refuseAction(p *bronzeflow.Packet, r Reason) Action {
+	if b.partitioned() {
+		return b.abortAction(p, r)
 	}
 	return Action{Kind: Refuse, Packet: *p, Reason: r, RetryAfter: b.Timing.RetryAfter}
 }
 
-// abortion is the final answer without a claim about what ran.
-func (b *Balancer) abortion(p *bronzeflow.Packet, r Reason) Action {
+// abortAction is the final answer without a claim about what ran.
+func (b *Balancer) abortAction(p *bronzeflow.Packet, r Reason) Action {
 	return Action{Kind: Abort, Packet: *p, Reason: r, RetryAfter: b.Timing.RetryAfter}
 }
 
-// split reports whether another side may be placing the same flows.
-func (b *Balancer) split() bool {
+// partitioned reports whether another side may be placing the same flows.
+func (b *Balancer) partitioned() bool {
 	v := b.view.Load()
 	return v != nil && v.Partitioned
 }
--- a/bronzecore/entry.go
+++ b/bronzecore/entry.go
@@ -22,7 +22,7 @@
 		// After a pause another node may have taken the flow over, ended it
 		// and placed a new one under the same key. Entries from before the
 		// pause are checked once; a caller sees one retransmission.
-		return e.Used >= b.woke.Load() && (s-e.Used <= 1 || !b.fenced(b.view.Load()))
+		return e.Used >= b.unfencedAt.Load() && (s-e.Used <= 1 || !b.fenced(b.view.Load()))
 	}
 	// The owner remembers a closed flow for longer than Learned, so a key
 	// that is used again can't have moved while this entry was trusted.
@@ -92,7 +92,7 @@
 		return
 	}
 	if e.Flags&bronzeflow.Copied != 0 {
-		b.copier.gone(key.Hash(), e.Server)
+		b.copier.queueRemoval(key.Hash(), e.Server)
 	}
 	b.uncount(key, e)
 }
@@ -104,13 +104,13 @@
 	if !ok {
 		svc = set.snapshot.Match(key)
 	}
-	if st := set.of(svc); st != nil {
-		st.ended(e)
+	if st := set.stateOf(svc); st != nil {
+		st.countEnded(e)
 	}
 }
 
-// evicted is called by the table when it makes room.
-func (b *Balancer) evicted(key bronzeflow.Key, e bronzeflow.Entry) {
+// onEvict is called by the table when it makes room.
+func (b *Balancer) onEvict(key bronzeflow.Key, e bronzeflow.Entry) {
 	b.release(&key, e)
 }
 
--- a/bronzecore/message.go
+++ b/bronzecore/message.go
@@ -12,27 +12,27 @@
 	d := decision{Balancer: b, now: b.clock(), out: out, set: b.services.Load()}
 	switch {
 	case m.Learn != nil:
-		d.about(&m.Learn.Key)
-		d.learned(m.Learn)
+		d.setFlow(&m.Learn.Key)
+		d.handleLearn(m.Learn)
 	case m.Query != nil:
-		d.about(&m.Query.Key)
-		d.queried(peer)
+		d.setFlow(&m.Query.Key)
+		d.handleQuery(peer)
 	case m.Answer != nil:
-		d.about(&m.Answer.Key)
-		d.answered(m.Answer, peer)
+		d.setFlow(&m.Answer.Key)
+		d.handleAnswer(m.Answer, peer)
 	case m.Forget != nil:
-		d.about(m.Forget)
-		d.forgotten()
+		d.setFlow(m.Forget)
+		d.handleForget()
 	case m.Copies != nil:
-		return b.copied(m.Copies, peer, out)
+		return b.handleCopies(m.Copies, peer, out)
 	case m.CopyAcks != nil:
-		b.acknowledged(m.CopyAcks)
+		b.handleCopyAcks(m.CopyAcks)
 	}
 	return d.out
 }
 
-// learned takes in where the owner of a flow has pinned it.
-func (d *decision) learned(m *bronzelink.Mapping) {
+// handleLearn takes in where the owner of a flow has pinned it.
+func (d *decision) handleLearn(m *bronzelink.Mapping) {
 	if e, ok := d.entry(); ok && e.Flags&bronzeflow.Owned != 0 {
 		return
 	}
@@ -51,31 +51,31 @@
 	learnBurst          = 2048
 	// The pace of teaching flows whose callers send again. Lost packets are
 	// rare, so this is used when paths go silent, and then it is urgent.
-	rescueBytesPerSecond = 1024
-	rescueBurst          = 64 << 10
+	retransmitLearnBytesPerSecond = 1024
+	retransmitLearnBurst          = 64 << 10
 )
 
-// teach tells a node that relayed the packet where its flow is pinned. An owner whose
+// sendLearn tells a node that relayed the packet where its flow is pinned. An owner whose
 // caller sends the same again tells others, also if the packet entered here: its own
 // path to the server may be the one that is silent.
-func (d *decision) teach(e bronzeflow.Entry, peer string) {
+func (d *decision) sendLearn(e bronzeflow.Entry, peer string) {
 	if e.State != bronzeflow.Established || peer == "" && e.Flags&bronzeflow.Owned == 0 {
 		return
 	}
-	if d.packet.Payload > 0 && d.packet.Sequence != 0 && d.repeated(e) {
-		d.teachAll(e)
+	if d.packet.Payload > 0 && d.packet.Sequence != 0 && d.isRetransmission(e) {
+		d.sendLearnToPeers(e)
 		return
 	}
-	if peer == "" || d.seconds(d.now)-e.Opened < toSeconds(d.Timing.MinCopyAge) || !d.teacher.AllowN(d.now, learnBytes) {
+	if peer == "" || d.seconds(d.now)-e.Opened < toSeconds(d.Timing.MinCopyAge) || !d.learnLimiter.AllowN(d.now, learnBytes) {
 		return
 	}
 	m := mapping(d.packet.Key, e)
 	d.send(peer, &bronzelink.FlowMessage{Learn: &m})
 }
 
-// repeated notes a relayed piece of payload, and reports whether it is the
+// isRetransmission notes a relayed piece of payload, and reports whether it is the
 // same as the last one.
-func (d *decision) repeated(e bronzeflow.Entry) bool {
+func (d *decision) isRetransmission(e bronzeflow.Entry) bool {
 	last := uint16(d.packet.Sequence)
 	if e.LastRelayedSequence == last {
 		return true
@@ -84,46 +84,46 @@
 	return false
 }
 
-// teachAll tells other nodes where a flow is pinned whose caller has to send
+// sendLearnToPeers tells other nodes where a flow is pinned whose caller has to send
 // the same again: the path from here to the server may have lost track of the
 // flow, while the others' paths work. The caller's next try then goes by one
 // of those, to the same server.
-func (d *decision) teachAll(e bronzeflow.Entry) {
+func (d *decision) sendLearnToPeers(e bronzeflow.Entry) {
 	v := d.view.Load()
 	if v == nil {
 		return
 	}
 	m := mapping(d.packet.Key, e)
 	known := &attempt{hash: d.hash, widened: true}
-	for i, name := range known.knowers(v) {
+	for i, name := range known.queryTargets(v) {
 		if name == d.Name {
 			continue
 		}
-		if i >= smallFleet || !d.rescuer.AllowN(d.now, learnBytes) {
+		if i >= smallFleet || !d.retransmitLimiter.AllowN(d.now, learnBytes) {
 			break
 		}
 		d.send(name, &bronzelink.FlowMessage{Learn: &m})
 	}
 }
 
-// queried answers a node that owns a flow and doesn't know it.
-func (d *decision) queried(peer string) {
+// handleQuery answers a node that owns a flow and doesn't know it.
+func (d *decision) handleQuery(peer string) {
 	d.lock()
 	defer d.shard.mu.Unlock()
-	m := d.known()
+	m := d.knownMapping()
 	if m.Server != 0 && d.owner(d.view.Load(), d.hash) != d.Name {
 		d.handOver()
 	}
 	d.send(peer, &bronzelink.FlowMessage{Answer: &m})
 }
 
-// known returns what this node knows of the flow.
-func (d *decision) known() bronzelink.Mapping {
+// knownMapping returns what this node knows of the flow.
+func (d *decision) knownMapping() bronzelink.Mapping {
 	key := d.packet.Key
 	if e, ok := d.entry(); ok && d.trusted(e, d.now) {
 		return mapping(key, e)
 	}
-	if a, ok := d.shard.attempts[key]; ok && a.belief.Server != 0 {
+	if a, ok := d.shard.attempts[key]; ok && a.stale.Server != 0 {
 		return bronzelink.Mapping{Key: key}
 	}
 	if id, ok := d.copies.get(d.hash); ok {
@@ -153,9 +153,9 @@
 	d.table.Put(key, d.hash, e)
 }
 
-// forget tells all nodes that the flow's key no longer meets the server that
+// sendForget tells all nodes that the flow's key no longer meets the server that
 // they may have learned for it.
-func (d *decision) forget() {
+func (d *decision) sendForget() {
 	v := d.view.Load()
 	if v == nil {
 		return
@@ -169,7 +169,7 @@
 	}
 }
 
-func (d *decision) forgotten() {
+func (d *decision) handleForget() {
 	if e, ok := d.entry(); ok {
 		d.dropLearned(e)
 	}
--- a/bronzecore/owner.go
+++ b/bronzecore/owner.go
@@ -5,14 +5,14 @@
 	"bronzeusher.example/bronzeusher/bronzelink"
 )
 
-// own decides, as the flow's owner, on a caller's packet that no trusted
+// decideAsOwner decides, as the flow's owner, on a caller's packet that no trusted
 // entry answers. The service is matched.
-func (d *decision) own() {
+func (d *decision) decideAsOwner() {
 	d.lock()
 	defer d.shard.mu.Unlock()
 	if a, ok := d.shard.attempts[d.packet.Key]; ok {
 		if a.phase != opening || d.inForce(a.server()) {
-			d.again(a)
+			d.continueAttempt(a)
 			return
 		}
 		d.withdraw(a)
@@ -26,14 +26,14 @@
 	case d.packet.Kind == bronzeflow.Open || d.packet.Kind == bronzeflow.Datagram:
 		d.open()
 	case d.packet.Kind == bronzeflow.Reset:
-		d.cancelUnknown()
+		d.forwardUnknownReset()
 	default:
 		d.recover()
 	}
 }
 
-// again handles another packet of a flow that has an attempt.
-func (d *decision) again(a *attempt) {
+// continueAttempt handles another packet of a flow that has an attempt.
+func (d *decision) continueAttempt(a *attempt) {
 	p := &d.packet
 	switch {
 	case p.Kind == bronzeflow.Reset || (p.Kind == bronzeflow.Close && a.phase == opening):
@@ -43,7 +43,7 @@
 			a.hold(p)
 		}
 		d.drop(Recovering)
-		d.probeAgain(a)
+		d.reprobe(a)
 	case p.Kind == bronzeflow.Open:
 		// The caller retransmits: the same server gets the same opening.
 		a.hold(p)
@@ -117,7 +117,7 @@
 	}
 	// The key moves to another server while other nodes may have learned
 	// the old one; they are told before they could forward to it.
-	d.forget()
+	d.sendForget()
 	d.place(a, 0)
 }
 
@@ -138,7 +138,7 @@
 		d.adopt(bronzelink.Mapping{Server: id, State: bronzeflow.Established})
 		return
 	}
-	if copied && d.service.usable(id) != 0 {
+	if copied && d.service.ifAvailable(id) != 0 {
 		d.place(a, id)
 		return
 	}
@@ -150,7 +150,7 @@
 	// The former owner may have placed this flow a moment ago. Placing it
 	// again without asking could open it at two servers.
 	d.query(a)
-	if len(a.asked) == 0 {
+	if len(a.outstanding) == 0 {
 		d.place(a, 0)
 	}
 }
@@ -161,14 +161,14 @@
 	a := d.shard.add(&d.packet, d.hash, d.now)
 	if a != nil {
 		a.deadline = d.now.Add(d.Timing.RecoveryTimeout)
-		a.disputed = d.split()
+		a.partitioned = d.partitioned()
 	}
 	return a
 }
 
-// cancelUnknown passes a caller's reset of an unknown flow on as well as it
+// forwardUnknownReset passes a caller's reset of an unknown flow on as well as it
 // can. A reset runs nothing, also at a server that doesn't know the flow.
-func (d *decision) cancelUnknown() {
+func (d *decision) forwardUnknownReset() {
 	id, ok := d.copies.get(d.hash)
 	if !ok {
 		var buf [1]bronzeflow.ServerID
--- a/bronzecore/place.go
+++ b/bronzecore/place.go
@@ -9,11 +9,11 @@
 func (d *decision) place(a *attempt, prefer bronzeflow.ServerID) {
 	if r := d.service.admit(); r != None {
 		d.shard.remove(a)
-		d.add(d.refusal(&a.held, r))
+		d.add(d.refuseAction(&a.held, r))
 		return
 	}
 	d.service.budget.CountOpen()
-	a.disputed = a.disputed || d.split()
+	a.partitioned = a.partitioned || d.partitioned()
 	a.deadline = a.started.Add(d.service.openDeadline())
 	d.try(a, prefer, None)
 }
@@ -23,12 +23,12 @@
 func (d *decision) try(a *attempt, prefer bronzeflow.ServerID, why Reason) {
 	id, first, ok := d.choose(a, prefer)
 	if !ok {
-		d.giveUp(a, firstReason(why, NoServer))
+		d.giveUp(a, reasonOr(why, NoServer))
 		return
 	}
 	a.tried = append(a.tried, id)
 	a.phase = opening
-	a.due = d.now.Add(d.Timing.AttemptTimeout)
+	a.phaseDeadline = d.now.Add(d.Timing.AttemptTimeout)
 	a.committed = a.held.Payload > 0
 	e := d.ownedEntry(id, bronzeflow.Pending, first)
 	datagram := a.held.Kind == bronzeflow.Datagram
@@ -44,7 +44,7 @@
 	d.service.pool.Opened(id)
 	d.add(Action{Kind: Forward, Server: id, Packet: a.held, Reason: why})
 	if datagram {
-		d.established(a, e)
+		d.countEstablished(a, e)
 		d.shard.remove(a)
 	}
 }
@@ -57,19 +57,19 @@
 	}
 	// A flow of datagrams can't be told from a new one where it isn't
 	// known, so it goes where any node computes it to be.
-	plain := d.split() || a.held.Kind == bronzeflow.Datagram
+	plain := d.partitioned() || a.held.Kind == bronzeflow.Datagram
 	return d.service.pool.Choose(a.hash, a.tried, plain)
 }
 
-func firstReason(a, b Reason) Reason {
+func reasonOr(a, b Reason) Reason {
 	if a != None {
 		return a
 	}
 	return b
 }
 
-// established counts a flow that a server has taken.
-func (d *decision) established(a *attempt, e bronzeflow.Entry) {
+// countEstablished counts a flow that a server has taken.
+func (d *decision) countEstablished(a *attempt, e bronzeflow.Entry) {
 	d.service.account.Established()
 	if e.Flags&bronzeflow.Exception != 0 {
 		d.copier.add(a.key, a.hash, e.Opened)
@@ -80,7 +80,7 @@
 // silent, if the budget and the deadline allow. Until here no payload was
 // forwarded, or the service's requests are idempotent.
 func (d *decision) retry(a *attempt, why Reason) {
-	d.unplace(a)
+	d.removePlacement(a)
 	rule := &d.service.conf.Retry
 	switch {
 	case a.committed && !rule.Idempotent:
@@ -96,8 +96,8 @@
 	}
 }
 
-// unplace takes the current server's entry of an attempt back.
-func (d *decision) unplace(a *attempt) {
+// removePlacement takes the current server's entry of an attempt back.
+func (d *decision) removePlacement(a *attempt) {
 	if _, ok := d.table.Delete(&a.key, a.hash); ok {
 		d.service.pool.Ended(a.server())
 	}
@@ -108,14 +108,14 @@
 func (d *decision) giveUp(a *attempt, r Reason) {
 	d.shard.remove(a)
 	d.service.account.Ended(false)
-	d.add(d.final(a, r))
+	d.add(d.finalAction(a, r))
 }
 
-// final is the answer to the caller of an attempt. If something of it may have
+// finalAction is the answer to the caller of an attempt. If something of it may have
 // run, no claim is made.
-func (b *Balancer) final(a *attempt, r Reason) Action {
-	if a.committed || a.disputed {
-		return b.abortion(&a.held, r)
+func (b *Balancer) finalAction(a *attempt, r Reason) Action {
+	if a.committed || a.partitioned {
+		return b.abortAction(&a.held, r)
 	}
-	return b.refusal(&a.held, r)
+	return b.refuseAction(&a.held, r)
 }
--- a/bronzecore/recover.go
+++ b/bronzecore/recover.go
@@ -30,7 +30,7 @@
 		return
 	}
 	d.query(a)
-	if len(a.asked) == 0 {
+	if len(a.outstanding) == 0 {
 		d.probe(a)
 	}
 }
@@ -43,38 +43,38 @@
 		d.drop(Recovering)
 		return
 	}
-	a.belief, a.widened = e, true
+	a.stale, a.widened = e, true
 	d.query(a)
-	if len(a.asked) == 0 {
-		d.unanswered(a)
+	if len(a.outstanding) == 0 {
+		d.notFound(a)
 	}
 }
 
 // query asks the nodes that may know the flow.
 func (d *decision) query(a *attempt) {
 	a.phase = querying
-	a.due = d.now.Add(d.Timing.QueryTimeout)
-	a.asked = make(map[string]struct{})
+	a.phaseDeadline = d.now.Add(d.Timing.QueryTimeout)
+	a.outstanding = make(map[string]struct{})
 	v := d.view.Load()
 	if v == nil {
 		return
 	}
-	for _, name := range a.knowers(v) {
-		if _, ok := a.asked[name]; ok || name == d.Name {
+	for _, name := range a.queryTargets(v) {
+		if _, ok := a.outstanding[name]; ok || name == d.Name {
 			continue
 		}
-		a.asked[name] = struct{}{}
+		a.outstanding[name] = struct{}{}
 		q := &bronzelink.Query{Key: a.key, Open: a.isOpen()}
 		d.send(name, &bronzelink.FlowMessage{Query: q})
 	}
 }
 
-// knowers returns the nodes that may know the flow of an attempt. An opening
+// queryTargets returns the nodes that may know the flow of an attempt. An opening
 // that is not established is known to the flow's former owner alone. So is
 // nearly every established flow after a planned change; if it isn't, those are
 // asked that may have learned it: in a large fleet the next in the flow's order
 // and the former owners, in a small one all.
-func (a *attempt) knowers(v *bronzefleet.View) []string {
+func (a *attempt) queryTargets(v *bronzefleet.View) []string {
 	former, n := v.Previous(a.hash)
 	if a.isOpen() || !a.widened && n > 0 {
 		return former[:min(n, formerQueries)]
@@ -86,8 +86,8 @@
 	return append(former[:n:n], order[:m]...)
 }
 
-// told are the flags of an entry that other nodes take over.
-const told = bronzeflow.Confirmed | bronzeflow.CallerClosed | bronzeflow.ServerClosed | bronzeflow.Committed
+// transferredFlags are the flags of an entry that other nodes take over.
+const transferredFlags = bronzeflow.Confirmed | bronzeflow.CallerClosed | bronzeflow.ServerClosed | bronzeflow.Committed
 
 // adopt pins the flow to the server that somebody knows it to be at, and
 // forwards the packet.
@@ -99,11 +99,11 @@
 	derivable := d.service.derivable(&d.packet.Key, d.hash, m.Server)
 	e := d.ownedEntry(m.Server, m.State, derivable)
 	e.Echo = m.Echo
-	e.Flags |= m.Flags & told
+	e.Flags |= m.Flags & transferredFlags
 	if d.owner(d.view.Load(), d.hash) != d.Name {
 		// Found in place of an owner that may be alive, which counts it.
 		d.putLearned(e)
-		d.pinned(e, "")
+		d.forwardPinned(e, "")
 		return
 	}
 	d.dropEntry()
@@ -111,38 +111,38 @@
 		d.drop(TableFull)
 		return
 	}
-	d.adopted(e)
-	d.pinned(e, "")
+	d.countAdopted(e)
+	d.forwardPinned(e, "")
 }
 
-// adopted counts a flow that another node had placed.
-func (d *decision) adopted(e bronzeflow.Entry) {
+// countAdopted counts a flow that another node had placed.
+func (d *decision) countAdopted(e bronzeflow.Entry) {
 	if e.State == bronzeflow.Closed {
 		return
 	}
-	d.service.adopted(e)
+	d.service.countAdopted(e)
 	if e.Flags&bronzeflow.Exception != 0 {
 		d.copier.add(d.packet.Key, d.hash, e.Opened)
 	}
 }
 
-// answered takes in what the node peer knows of an attempt's flow.
-func (d *decision) answered(m *bronzelink.Mapping, peer string) {
+// handleAnswer takes in what the node peer knows of an attempt's flow.
+func (d *decision) handleAnswer(m *bronzelink.Mapping, peer string) {
 	d.lock()
 	defer d.shard.mu.Unlock()
 	a, ok := d.shard.attempts[m.Key]
 	if !ok || a.phase == opening {
 		return
 	}
-	delete(a.asked, peer)
+	delete(a.outstanding, peer)
 	if m.Server != 0 && (a.phase == querying || m.State == bronzeflow.Established) {
 		d.found(a, *m)
 		return
 	}
-	if a.phase != querying || len(a.asked) > 0 {
+	if a.phase != querying || len(a.outstanding) > 0 {
 		return
 	}
-	d.unanswered(a)
+	d.notFound(a)
 }
 
 // found ends an attempt's queries: the flow is at a server.
@@ -154,34 +154,34 @@
 	case m.State != bronzeflow.Pending:
 		d.shard.remove(a)
 		if a.held.Kind == bronzeflow.Open && m.State == bronzeflow.Closed {
-			d.place(d.newAttempt(), d.service.usable(m.Server))
+			d.place(d.newAttempt(), d.service.ifAvailable(m.Server))
 			return
 		}
 		d.adopt(m)
 	case a.held.Kind == bronzeflow.Open:
 		// The former owner had sent the opening to a server. That goes on.
-		d.place(a, d.service.usable(m.Server))
+		d.place(a, d.service.ifAvailable(m.Server))
 	default:
 		// Data of a flow that was pending a moment ago: its server tells.
 		d.probe(a)
 	}
 }
 
-// unanswered goes on when no node knows the flow of an attempt.
-func (d *decision) unanswered(a *attempt) {
+// notFound goes on when no node knows the flow of an attempt.
+func (d *decision) notFound(a *attempt) {
 	d.resume(a)
 	switch {
 	case !d.match():
 		d.discard(a, NoService)
-	case a.belief.Server != 0:
+	case a.stale.Server != 0:
 		d.shard.remove(a)
-		d.adopt(mapping(a.key, a.belief))
+		d.adopt(mapping(a.key, a.stale))
 	case a.isOpen():
 		d.place(a, 0)
 	case !a.widened:
 		a.widened = true
 		d.query(a)
-		if len(a.asked) == 0 {
+		if len(a.outstanding) == 0 {
 			d.probe(a)
 		}
 	default:
--- a/bronzecore/server.go
+++ b/bronzecore/server.go
@@ -43,7 +43,7 @@
 	e, known := d.entry()
 	if known && e.Server == id && e.State != bronzeflow.Pending && d.trusted(e, d.now) {
 		d.touch(e)
-		if d.straight(e) {
+		if d.replyDirect(e) {
 			return
 		}
 	}
@@ -56,8 +56,8 @@
 	// All that changes a flow's state, or doesn't fit what is known here, is
 	// the owner's to decide.
 	v := d.view.Load()
-	if owner := d.decider(v, d.hash, d.packet.Kind); owner != d.Name {
-		d.elsewhere(id, e, known, owner)
+	if owner := d.decidingNode(v, d.hash, d.packet.Kind); owner != d.Name {
+		d.unownedReply(id, e, known, owner)
 		return
 	}
 	if d.fenced(v) {
@@ -67,9 +67,9 @@
 	d.ownReply(id)
 }
 
-// straight passes a packet of a flow's own server on to the caller if that
+// replyDirect passes a packet of a flow's own server on to the caller if that
 // doesn't take the owner, and reports whether it did.
-func (d *decision) straight(e bronzeflow.Entry) bool {
+func (d *decision) replyDirect(e bronzeflow.Entry) bool {
 	switch d.packet.Kind {
 	case bronzeflow.Data, bronzeflow.Datagram:
 		d.reply(e.Server)
@@ -77,20 +77,20 @@
 	case bronzeflow.Close:
 		d.markEnded(bronzeflow.ServerClosed, false)
 		d.reply(e.Server)
-		d.note(e, RelayReply)
+		d.notifyOwner(e, RelayReply)
 		return true
 	default:
 		return false
 	}
 }
 
-// elsewhere decides on a server's packet of a flow that another node owns.
-func (d *decision) elsewhere(id bronzeflow.ServerID, e bronzeflow.Entry, known bool, owner string) {
+// unownedReply decides on a server's packet of a flow that another node owns.
+func (d *decision) unownedReply(id bronzeflow.ServerID, e bronzeflow.Entry, known bool, owner string) {
 	if known {
 		// Two servers claim the flow, or the entry is old: the owner tells.
 		d.dropLearned(e)
 	}
-	if known || !d.teaches() {
+	if known || !d.provesPinning() {
 		d.relay(RelayReply, id, owner)
 		return
 	}
@@ -98,7 +98,7 @@
 	d.reply(id)
 }
 
-// teaches reports whether a server's packet shows by itself that its flow is
+// provesPinning reports whether a server's packet shows by itself that its flow is
 // pinned there. A server sends data only on a connection that the caller has
 // confirmed, and owners let one acceptance through. An opening that carried
 // its request may have been given up after the server got it, though, where
@@ -106,7 +106,7 @@
 // without payload may be the answer to an owner's probe. If it taught the node
 // that it happens to enter by, the owner would wait for it in vain and end the
 // flow.
-func (d *decision) teaches() bool {
+func (d *decision) provesPinning() bool {
 	p := &d.packet
 	if p.Payload == 0 || p.Kind != bronzeflow.Data && p.Kind != bronzeflow.Datagram {
 		return false
@@ -129,7 +129,7 @@
 		return
 	}
 	if known {
-		d.late(id)
+		d.dropLateAnswer(id)
 		return
 	}
 	switch d.packet.Kind {
@@ -147,13 +147,13 @@
 func (d *decision) attemptReply(a *attempt, id bronzeflow.ServerID) {
 	switch {
 	case a.phase == probing && slices.Contains(a.tried, id):
-		d.probed(a, id)
+		d.handleProbeReply(a, id)
 	case a.phase != opening:
 		d.drop(Recovering)
 	case id == a.server():
 		d.openingReply(a)
 	case a.wasTried(id):
-		d.late(id)
+		d.dropLateAnswer(id)
 	case d.packet.Kind == bronzeflow.Data:
 		// While the fleet is split, the other side has opened this flow at
 		// another server, and the caller is using it.
@@ -192,20 +192,20 @@
 		}
 		e = *x
 	})
-	d.established(a, e)
+	d.countEstablished(a, e)
 	d.reply(a.server())
 }
 
-// late discards an answer of an attempt that was given up. Its server was told
+// dropLateAnswer discards an answer of an attempt that was given up. Its server was told
 // so when it was given up; an acceptance shows that it has not heard, and it
 // is told again. While the fleet is split the connection may be the one that
 // the other side has given the caller, so it is left alone.
-func (d *decision) late(id bronzeflow.ServerID) {
+func (d *decision) dropLateAnswer(id bronzeflow.ServerID) {
 	d.drop(LateAnswer)
-	if d.packet.Kind != bronzeflow.Accept || d.split() {
+	if d.packet.Kind != bronzeflow.Accept || d.partitioned() {
 		return
 	}
-	d.pass(Cancel, id, LateAnswer)
+	d.addPacketAction(Cancel, id, LateAnswer)
 }
 
 // pinnedReply decides on a packet of a flow's own server that changes the
@@ -214,7 +214,7 @@
 	d.reply(e.Server)
 	switch d.packet.Kind {
 	case bronzeflow.Accept:
-		d.reaccepted()
+		d.updateEcho()
 	case bronzeflow.Refuse:
 		d.markEnded(bronzeflow.ServerClosed, true)
 	case bronzeflow.Close:
@@ -222,9 +222,9 @@
 	}
 }
 
-// reaccepted notes a further acceptance: a retransmission, or the answer to a
+// updateEcho notes a further acceptance: a retransmission, or the answer to a
 // new opening under the same key.
-func (d *decision) reaccepted() {
+func (d *decision) updateEcho() {
 	echo := d.packet.Echo
 	d.table.Update(&d.packet.Key, d.hash, func(e *bronzeflow.Entry) {
 		if e.Echo == echo {
@@ -244,7 +244,7 @@
 	e := d.ownedEntry(id, bronzeflow.Established, derivable)
 	e.Flags |= bronzeflow.Confirmed
 	if d.table.Put(&d.packet.Key, d.hash, e) {
-		d.service.adopted(e)
+		d.service.countAdopted(e)
 	}
 	if v := d.view.Load(); v != nil && v.Unsettled(d.hash, d.Timing.UnsettledPeriod) {
 		// The former owner still counts the flow; a query hands it over.
--- a/bronzecore/service.go
+++ b/bronzecore/service.go
@@ -32,15 +32,15 @@
 	shared atomic.Bool
 }
 
-// of returns the state of a service, or nil.
-func (s *serviceSet) of(conf *bronzeconf.Service) *service {
+// stateOf returns the state stateOf a service, or nil.
+func (s *serviceSet) stateOf(conf *bronzeconf.Service) *service {
 	return s.byConf[conf]
 }
 
 // match returns the state of the service that claims a flow's destination, or
 // nil.
 func (s *serviceSet) match(key *bronzeflow.Key) *service {
-	return s.of(s.snapshot.Match(key))
+	return s.stateOf(s.snapshot.Match(key))
 }
 
 func serviceName(conf *bronzeconf.Service) string {
@@ -91,14 +91,14 @@
 	}
 }
 
-// ended takes back what a flow in the table held.
-func (st *service) ended(e bronzeflow.Entry) {
+// countEnded takes back what a flow in the table held.
+func (st *service) countEnded(e bronzeflow.Entry) {
 	st.pool.Ended(e.Server)
 	st.account.Ended(e.State != bronzeflow.Pending)
 }
 
-// adopted counts an established flow that another node had placed.
-func (st *service) adopted(e bronzeflow.Entry) {
+// countAdopted counts an established flow that another node had placed.
+func (st *service) countAdopted(e bronzeflow.Entry) {
 	st.pool.Opened(e.Server)
 	st.account.Adopt()
 }
@@ -118,8 +118,8 @@
 	return denialReasons[st.account.Admit()]
 }
 
-// usable returns id if the server may take new work, otherwise 0.
-func (st *service) usable(id bronzeflow.ServerID) bronzeflow.ServerID {
+// ifAvailable returns id if the server may take new work, otherwise 0.
+func (st *service) ifAvailable(id bronzeflow.ServerID) bronzeflow.ServerID {
 	if st.pool.Available(id) {
 		return id
 	}
--- a/bronzecore/status.go
+++ b/bronzecore/status.go
@@ -57,7 +57,7 @@
 	st.Revision = snap.Revision
 	st.Refusals = snap.Refusals
 	for _, conf := range snap.Services {
-		s := set.of(conf)
+		s := set.stateOf(conf)
 		if s == nil {
 			continue
 		}
@@ -138,5 +138,5 @@
 	if !ok {
 		return nil
 	}
-	return set.of(svc)
+	return set.stateOf(svc)
 }
--- a/bronzecore/sweep.go
+++ b/bronzecore/sweep.go
@@ -21,22 +21,22 @@
 	mu    sync.Mutex
 	next  int
 	ticks int
-	// left is how many shards the fast round still has to see.
-	left int
-	// view is the one under which the last fast round was completed; during
+	// fastShardsLeft is how many shards the fast round still has to see.
+	fastShardsLeft int
+	// roundView is the one under which the last fast round was completed; during
 	// the round it is still the old one.
-	view *bronzefleet.View
+	roundView *bronzefleet.View
 }
 
-// again starts a fast round.
-func (w *sweeper) again() {
+// startFastRound starts a fast round.
+func (w *sweeper) startFastRound() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.left = bronzeflow.Shards
+	w.fastShardsLeft = bronzeflow.Shards
 }
 
-// sweepSome sweeps the shards that are due.
-func (b *Balancer) sweepSome(now time.Time) {
+// sweepDueShards sweeps the shards that are due.
+func (b *Balancer) sweepDueShards(now time.Time) {
 	w := &b.sweep
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -45,17 +45,17 @@
 	if w.ticks%slowSweepTicks == 0 {
 		n = 1
 	}
-	fast := w.left > 0
+	fast := w.fastShardsLeft > 0
 	if fast {
-		n = min(fastSweepShards, w.left)
-		w.left -= n
+		n = min(fastSweepShards, w.fastShardsLeft)
+		w.fastShardsLeft -= n
 	}
 	for range n {
 		b.sweepShard(w.next, fast, now)
 		w.next = (w.next + 1) % bronzeflow.Shards
 	}
-	if fast && w.left == 0 {
-		w.view = b.view.Load()
+	if fast && w.fastShardsLeft == 0 {
+		w.roundView = b.view.Load()
 		b.pruneCopies()
 	}
 }
@@ -78,7 +78,7 @@
 			return false
 		}
 		if fast && e.Flags&bronzeflow.Owned != 0 && e.State == bronzeflow.Established {
-			if c, ok := b.reflag(k, e); ok {
+			if c, ok := b.dueFlagChange(k, e); ok {
 				changes = append(changes, c)
 			}
 		}
@@ -88,7 +88,7 @@
 		b.release(&expired[i].key, expired[i].entry)
 	}
 	for i := range changes {
-		b.applyChange(&changes[i])
+		b.applyFlagChange(&changes[i])
 	}
 }
 
@@ -119,8 +119,8 @@
 	return bronzeconf.DefaultIdleTimeout
 }
 
-// reflag tells how the flags of an owned flow have to change.
-func (b *Balancer) reflag(k *bronzeflow.Key, e bronzeflow.Entry) (c flagChange, ok bool) {
+// dueFlagChange tells how the flags of an owned flow have to change.
+func (b *Balancer) dueFlagChange(k *bronzeflow.Key, e bronzeflow.Entry) (c flagChange, ok bool) {
 	st := b.services.Load().match(k)
 	if st == nil {
 		return c, false
@@ -145,16 +145,16 @@
 // is no longer its successor. The sweep's lock is held.
 func (b *Balancer) successorChanged(hash uint64) bool {
 	v := b.view.Load()
-	if v == nil || v == b.sweep.view {
+	if v == nil || v == b.sweep.roundView {
 		return false
 	}
-	return successorIn(v, b.Name, hash) != successorIn(b.sweep.view, b.Name, hash)
+	return successorIn(v, b.Name, hash) != successorIn(b.sweep.roundView, b.Name, hash)
 }
 
-func (b *Balancer) applyChange(c *flagChange) {
+func (b *Balancer) applyFlagChange(c *flagChange) {
 	hash := c.key.Hash()
 	if c.clear&bronzeflow.Exception != 0 && c.entry.Flags&bronzeflow.Copied != 0 {
-		b.copier.gone(hash, c.entry.Server)
+		b.copier.queueRemoval(hash, c.entry.Server)
 	}
 	var after bronzeflow.Entry
 	b.table.Update(&c.key, hash, func(e *bronzeflow.Entry) {
--- a/bronzecore/tick.go
+++ b/bronzecore/tick.go
@@ -11,7 +11,7 @@
 	for i := range d.shards {
 		d.tickShard(&d.shards[i])
 	}
-	d.sweepSome(d.now)
+	d.sweepDueShards(d.now)
 	return d.sendCopies(d.now, d.out)
 }
 
@@ -20,34 +20,34 @@
 	defer s.mu.Unlock()
 	d.shard = s
 	for _, a := range s.attempts {
-		if d.now.Before(a.due) && d.now.Before(a.deadline) {
+		if d.now.Before(a.phaseDeadline) && d.now.Before(a.deadline) {
 			continue
 		}
 		d.resume(a)
-		d.timedOut(a)
+		d.phaseTimedOut(a)
 	}
 }
 
-// timedOut goes on with an attempt whose phase has lasted too long.
-func (d *decision) timedOut(a *attempt) {
+// phaseTimedOut goes on with an attempt whose phase has lasted too long.
+func (d *decision) phaseTimedOut(a *attempt) {
 	switch {
 	case a.phase == querying:
-		d.unanswered(a)
+		d.notFound(a)
 	case a.phase == opening:
-		d.silent(a)
+		d.openingTimedOut(a)
 	case !d.now.Before(a.deadline):
-		d.unknown(a)
+		d.endUnknown(a)
 	default:
 		d.probe(a)
 	}
 }
 
-// silent goes on with an attempt whose server doesn't answer. It is told that
+// openingTimedOut goes on with an attempt whose server doesn't answer. It is told that
 // the attempt is given up, before the caller or another server hears of it.
-func (d *decision) silent(a *attempt) {
+func (d *decision) openingTimedOut(a *attempt) {
 	if !d.inForce(a.server()) {
 		d.withdraw(a)
-		d.add(d.final(a, ServerGone))
+		d.add(d.finalAction(a, ServerGone))
 		return
 	}
 	d.match() // its server is in force, so the service is
