--- a/bronzecore/action.go
+++ b/bronzecore/action.go
@@ -7,7 +7,7 @@
 	"bronzeusher.example/bronzeusher/bronzelink"
 )
 
-// ActionKind says what the driver has to do.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
 // The kinds of actions.
@@ -24,17 +24,17 @@
 	// Drop discards Packet; Reason is counted.
 	Drop
 	// Refuse tells the caller that the flow was refused and that nothing of
-	// it ran; it may come back after RetryAfter.
+	// it was run; the caller may retry after RetryAfter.
 	Refuse
-	// Abort ends the caller's flow without a claim about what ran.
+	// Abort ends the caller's flow without a claim about what was run.
 	Abort
 	// Cancel tells Server that the flow of Packet.Key is given up there.
 	Cancel
 	// Probe asks Server whether it holds the flow of Packet, with an empty
 	// packet that runs nothing. Server answers with Data if it does and
-	// Packet.Echo fits its connection (TCP servers check that by themselves),
-	// otherwise with Refuse: a half-open connection that the caller never
-	// took doesn't count.
+	// Packet.Echo matches its connection (TCP servers check that themselves),
+	// otherwise with Refuse. A half-open connection that the caller never
+	// confirmed doesn't count as held.
 	Probe
 	// Send sends Message to the node Peer.
 	Send
@@ -52,7 +52,8 @@
 	return "Unknown"
 }
 
-// Action is one output of a decision.
+// Action is one output of a decision: something for the driver to do. Which
+// fields are set depends on Kind.
 type Action struct {
 	Kind       ActionKind
 	Server     bronzeflow.ServerID
@@ -63,28 +64,28 @@
 	Message    *bronzelink.FlowMessage
 }
 
-// Reason is why something was dropped, refused, aborted, cancelled or tried
-// again. Each has a counter.
+// Reason is why a packet or flow was dropped, refused, aborted, cancelled or
+// retried. Each reason has a counter.
 type Reason uint8
 
 // The reasons.
 const (
 	None Reason = iota
-	// InvalidPacket: the packet's kind makes no sense in its direction.
+	// InvalidPacket: the packet's kind isn't valid in its direction.
 	InvalidPacket
 	// NoService: no service in force claims the destination.
 	NoService
 	// NoServer: no backend server may take a new flow.
 	NoServer
-	// HalfOpenLimit, OpenLimit, RateLimit: the service's limits.
+	// HalfOpenLimit, OpenLimit, RateLimit: a limit of the service or the node.
 	HalfOpenLimit
 	OpenLimit
 	RateLimit
-	// TableFull: the flow table has no room and nothing to evict.
+	// TableFull: the flow table is full and has nothing to evict.
 	TableFull
-	// RetryBudget: another attempt would exceed the retry budget.
+	// RetryBudget: a retry would exceed the service's retry budget.
 	RetryBudget
-	// OpenDeadline: the flow was not established in time.
+	// OpenDeadline: the flow was not established before its deadline.
 	OpenDeadline
 	// ServerRefused: a backend server refused the opening.
 	ServerRefused
@@ -92,25 +93,27 @@
 	ServerSilent
 	// ServerGone: the flow's backend server is no longer in force.
 	ServerGone
-	// LateAnswer: an answer of an attempt that was given up.
+	// LateAnswer: the answer to an opening that was given up.
 	LateAnswer
-	// ForeignServer: the sender is not in the pool of the packet's service.
+	// ForeignServer: the sending server is not in the pool of the packet's
+	// service.
 	ForeignServer
 	// UnknownFlow: no node and no backend server knows the flow.
 	UnknownFlow
-	// Recovering: the flow's backend server is being found out.
+	// Recovering: the flow's backend server is being recovered.
 	Recovering
-	// EchoMismatch: the packet belongs to another server's connection.
+	// EchoMismatch: the packet belongs to a connection with another server.
 	EchoMismatch
-	// RelayLoop: the packet was relayed too often.
+	// RelayLoop: the packet was already relayed MaxHops times.
 	RelayLoop
-	// Fenced: this node slept past its lease and is checking its beliefs.
+	// Fenced: this node was paused past its lease and is synchronizing with
+	// its peers.
 	Fenced
-	// NotReady: this node doesn't know the configuration or its peers yet.
+	// NotReady: this node has not synchronized with its peers yet.
 	NotReady
 	// CallerGone: the caller closed or reset the flow.
 	CallerGone
-	// Draining: this node is leaving and places nothing new.
+	// Draining: this node is leaving and places no new flows.
 	Draining
 	reasonCount
 )
@@ -122,7 +125,7 @@
 	"Fenced", "NotReady", "CallerGone", "Draining",
 }
 
-// String returns the reason's name, which is also its counter's.
+// String returns the reason's name, which is also the name of its counter.
 func (r Reason) String() string {
 	if r < reasonCount {
 		return reasonNames[r]
@@ -130,7 +133,7 @@
 	return "Unknown"
 }
 
-// Reasons returns all reasons, for those who make a counter of each.
+// Reasons returns all reasons, so that a caller can create a counter for each.
 func Reasons() []Reason {
 	all := make([]Reason, 0, reasonCount)
 	for r := None; r < reasonCount; r++ {
--- a/bronzecore/attempt.go
+++ b/bronzecore/attempt.go
@@ -8,47 +8,50 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// phase is what an attempt waits for.
+// phase is the state of an attempt: what it waits for.
 type phase uint8
 
 const (
-	// querying: other nodes are asked whether they know the flow.
+	// querying: other nodes were asked whether they know the flow.
 	querying phase = iota + 1
-	// opening: the server of the entry was sent the opening.
+	// opening: the opening was sent to the server of the entry.
 	opening
-	// probing: servers are asked whether they know the flow.
+	// probing: servers were asked whether they know the flow.
 	probing
 )
 
-// attempt is what the owner keeps of a flow that is not established yet or
-// that it has to find again. It lives in a shard, under the shard's lock.
+// attempt is the state of a flow that is being opened or recovered. It belongs
+// to a shard and is guarded by the shard's lock.
 type attempt struct {
 	key   bronzeflow.Key
 	hash  uint64
 	phase phase
 	// held is the latest packet that waits for the outcome; its Raw is a
-	// copy. For an opening it is the packet to try the next server with.
+	// copy. If it is an opening, it is what the next server is tried with.
 	held bronzeflow.Packet
-	// tried are the servers that were sent the opening, the last one being
-	// the current; or the servers that were probed.
+	// tried are the servers that were sent the opening, the current one last,
+	// or the servers that were probed.
 	tried []bronzeflow.ServerID
-	// denied are the probed servers that don't know the flow.
+	// denied are the probed servers that answered that they don't know the
+	// flow.
 	denied []bronzeflow.ServerID
 	// lastProbed is when servers were last probed.
 	lastProbed time.Time
-	// outstanding are the nodes whose answer is outstanding.
+	// outstanding are the queried nodes that have not answered.
 	outstanding map[string]struct{}
-	// widened is set once more nodes than the former owners are asked.
+	// widened is set once nodes other than the former owners are queried.
 	widened bool
-	// stale is an entry from before a pause, used if nobody knows better.
+	// stale is the flow's entry from before a pause. It is used if no other
+	// node knows the flow.
 	stale bronzeflow.Entry
 	// committed is set once payload was forwarded.
 	committed bool
-	// partitioned is set if the fleet was split when the attempt began or placed
-	// its flow: the other side may know the flow.
+	// partitioned is set if the fleet was partitioned when the attempt began
+	// or placed its flow: the other side may know the flow.
 	partitioned bool
 	started     time.Time
-	// phaseDeadline is when the phase times out; deadline when the attempt gives up.
+	// phaseDeadline is when the phase times out, deadline when the attempt is
+	// given up.
 	phaseDeadline time.Time
 	deadline      time.Time
 }
@@ -60,8 +63,8 @@
 	return a.tried[len(a.tried)-1]
 }
 
-// soleUnanswered returns the probed server that has not answered, if there is one
-// only. Otherwise it returns 0.
+// soleUnanswered returns the probed server that has not answered, if there is
+// exactly one, and 0 otherwise.
 func (a *attempt) soleUnanswered() (id bronzeflow.ServerID) {
 	if len(a.denied) != len(a.tried)-1 {
 		return 0
@@ -78,25 +81,28 @@
 	return slices.Contains(a.tried, id)
 }
 
-// isOpen reports whether the attempt is to place a new flow, not to find one.
+// isOpen reports whether the attempt is to place a new flow rather than to
+// recover an existing one.
 func (a *attempt) isOpen() bool {
 	return a.held.Kind == bronzeflow.Open || a.held.Kind == bronzeflow.Datagram
 }
 
-// hold keeps a copy of the packet that waits. An earlier copy is not written
-// over: a driver may still be sending it.
+// hold keeps a copy of p as the packet that waits. It allocates a new buffer,
+// since a driver may still be sending the earlier copy.
 func (a *attempt) hold(p *bronzeflow.Packet) {
 	a.held = *p
 	a.held.Raw = slices.Clone(p.Raw)
 }
 
 const (
-	// attemptShards divides the attempts; one shard's lock is held for a
-	// whole slow decision of a flow, which makes those atomic for each flow.
+	// attemptShards is the number of shards that attempts are divided into. A
+	// decision that involves an attempt holds its shard's lock throughout, so
+	// such decisions are atomic for each flow.
 	attemptShards = 64
-	// maxAttempts bounds one shard's attempts, so that a flood of packets of
-	// unknown flows costs a bounded amount of memory. Packets beyond it are
-	// dropped and counted; their senders retransmit.
+	// maxAttempts is the maximum number of attempts in a shard. It bounds the
+	// memory that a flood of packets of unknown flows can take. An opening
+	// beyond it is refused; other packets are dropped and counted, and their
+	// senders retransmit.
 	maxAttempts = 512
 )
 
@@ -105,7 +111,7 @@
 	attempts map[bronzeflow.Key]*attempt
 }
 
-// add starts an attempt for a packet, or returns nil if there is no room.
+// add starts an attempt for a packet. It returns nil if the shard is full.
 func (s *attemptShard) add(p *bronzeflow.Packet, hash uint64, now time.Time) *attempt {
 	if len(s.attempts) >= maxAttempts {
 		return nil
--- a/bronzecore/balancer.go
+++ b/bronzecore/balancer.go
@@ -14,37 +14,40 @@
 	"bronzeusher.example/bronzeusher/bronzepool"
 )
 
-// TickInterval is how often the driver calls Tick.
+// TickInterval is the interval at which the driver calls Balancer.Tick.
 const TickInterval = 10 * time.Millisecond
 
-// MaxHops is how many nodes may relay a packet before it is dropped: one to
-// the owner, and one more when two nodes disagree about who that is.
+// MaxHops is the number of times a packet may be relayed before it is dropped:
+// once to the owner, and once more if two nodes disagree about the owner.
 const MaxHops = 2
 
-// Balancer makes the decisions of one node. Its exported fields are set
-// before the first call and not changed afterwards; the zero value works
-// alone, without peers. All methods may be called concurrently. Methods
-// append what the driver has to do to out and return it.
+// Balancer makes the decisions of one node. Its exported fields must be set
+// before the first call and not changed afterwards. The zero value is a
+// balancer without peers. All methods may be called concurrently. Methods with
+// a parameter out append the actions for the driver to it and return it.
 type Balancer struct {
 	// Name is this node's name in the fleet.
 	Name string
-	// AvailabilityZone is this node's. Where the bound takes a flow off its
-	// first candidate, a server of the own zone is preferred.
+	// AvailabilityZone is this node's zone. If the bound on imbalance moves a
+	// flow off its first candidate, a server in this zone is preferred.
 	AvailabilityZone string
-	// Capacity bounds the flow table, 0 means bronzeflow.DefaultCapacity.
+	// Capacity is the maximum number of entries in the flow table. 0 means
+	// bronzeflow.DefaultCapacity.
 	Capacity int
-	// Timing holds durations; zero values mean the defaults.
+	// Timing holds the durations; zero values mean the defaults.
 	Timing Timing
-	// CopyBytesPerSecond paces the copies of exceptions to successors,
-	// 0 means DefaultCopyBytesPerSecond, and less than 0 no copies.
+	// CopyBytesPerSecond limits the rate of copies of exceptions to
+	// successors. 0 means DefaultCopyBytesPerSecond; a negative value disables
+	// copies.
 	CopyBytesPerSecond int
-	// HalfOpenLimit and Open bound the half-open flows and all flows that this
-	// node owns, shared fairly among Customers; 0 means no bound.
+	// HalfOpenLimit and OpenLimit are the maximum numbers of half-open flows
+	// and of all flows that this node owns, shared fairly among Customers.
+	// 0 means no limit.
 	HalfOpenLimit int
 	OpenLimit     int
 	// Lease returns the time until which the view of the fleet may be
-	// trusted. A packet that comes later finds the node fenced even if the
-	// view was not replaced yet. nil means that it may always be trusted.
+	// trusted. After it the node is fenced, even if the view has not been
+	// replaced yet. nil means that the view may always be trusted.
 	Lease func() time.Time
 
 	once       sync.Once
@@ -61,7 +64,7 @@
 	copies copyStore
 	copier copier
 	sweep  sweeper
-	// learnLimiter and rescuer pace Learn messages.
+	// learnLimiter and retransmitLimiter limit the rate of Learn messages.
 	learnLimiter      *rate.Limiter
 	retransmitLimiter *rate.Limiter
 }
@@ -74,23 +77,24 @@
 	QueryTimeout time.Duration
 	// ProbeTimeout is how long a server may take to answer a probe.
 	ProbeTimeout time.Duration
-	// RecoveryTimeout is how long a flow may stay unknown before a definite end.
+	// RecoveryTimeout is how long the server of a flow may stay unknown before
+	// the search is given up.
 	RecoveryTimeout time.Duration
-	// LearnedIdleTimeout is how long a learned mapping may be idle before it is
-	// checked with the flow's owner again.
+	// LearnedIdleTimeout is how long a learned mapping may be idle before it
+	// is checked with the flow's owner again.
 	LearnedIdleTimeout time.Duration
-	// LearnedMaxAge is how old a learned mapping may grow, idle or not.
+	// LearnedMaxAge is the maximum age of a learned mapping, idle or not.
 	LearnedMaxAge time.Duration
-	// ClosedRetention is how long a closed flow is remembered. It has to be longer
-	// than Learned.
+	// ClosedRetention is how long the entry of a closed flow is kept. It must
+	// be longer than LearnedIdleTimeout.
 	ClosedRetention time.Duration
-	// UnsettledPeriod is for how long after a change of ownership the previous
-	// owners are asked before a flow is placed. It has to be longer than an
+	// UnsettledPeriod is how long after a change of ownership the previous
+	// owners are queried before a flow is placed. It must be longer than an
 	// opening may be pending at one of them.
 	UnsettledPeriod time.Duration
-	// MinCopyAge is how old an exception has to be to be worth a copy.
+	// MinCopyAge is the age from which an exception is copied.
 	MinCopyAge time.Duration
-	// RetryAfter is what a refused caller is told to wait.
+	// RetryAfter is the time that a refused caller is told to wait.
 	RetryAfter time.Duration
 }
 
@@ -126,7 +130,7 @@
 	set(&t.RetryAfter, DefaultRetryAfter)
 }
 
-// init makes the zero Balancer ready at its first use.
+// init initializes the Balancer on first use.
 func (b *Balancer) init() {
 	b.once.Do(func() {
 		b.started = time.Now()
@@ -142,14 +146,15 @@
 	})
 }
 
-// clock returns the time since the first use as a time. It reads only the
-// monotonic clock, which takes half as long as to read both; it must not be
-// compared with a time of the wall clock, such as the lease.
+// clock returns the current time, derived from the time of the first use and
+// the monotonic clock alone, which takes half as long as reading both clocks.
+// The result must not be compared with a wall-clock time such as the lease.
 func (b *Balancer) clock() time.Time {
 	return b.started.Add(time.Since(b.started))
 }
 
-// seconds returns the table's clock: seconds since the first use, from 1.
+// seconds converts a time to the clock of the flow table: seconds since the
+// first use, starting at 1.
 func (b *Balancer) seconds(now time.Time) uint32 {
 	return uint32(now.Sub(b.started)/time.Second) + 1
 }
@@ -158,7 +163,8 @@
 	return uint32((d + time.Second - 1) / time.Second)
 }
 
-// SetSnapshot puts a configuration in force. Older revisions are ignored.
+// SetSnapshot puts a configuration in force. A snapshot older than the one in
+// force is ignored.
 func (b *Balancer) SetSnapshot(s *bronzeconf.Snapshot) {
 	b.init()
 	b.update.Lock()
@@ -194,26 +200,26 @@
 	return max(v.OwnerCount(), 1)
 }
 
-// Leave makes the balancer place nothing new and hand its exceptions over.
-// It goes on serving until the driver stops.
+// Leave makes the balancer stop placing new flows and copy its exceptions to
+// their next owners. It keeps serving existing flows until the driver stops.
 func (b *Balancer) Leave() {
 	b.init()
 	b.leaving.Store(true)
 	b.sweep.startFastRound()
 }
 
-// fenced reports whether this node has to check its beliefs with its peers
-// before it acts as an owner.
+// fenced reports whether this node must synchronize with its peers before it
+// may act as an owner.
 func (b *Balancer) fenced(v *bronzefleet.View) bool {
 	if v != nil && v.Fenced {
 		return true
 	}
-	// A process that was stopped may handle a packet before its membership
-	// has had a chance to notice. The lease tells, because time went on.
+	// A process that was paused may handle a packet before its membership
+	// notices the pause. The lease detects it, because the wall clock went on.
 	return b.Lease != nil && time.Now().After(b.Lease())
 }
 
-// owner returns the flow's owner as this node sees it.
+// owner returns the flow's owner in view v.
 func (b *Balancer) owner(v *bronzefleet.View, hash uint64) string {
 	if v == nil {
 		return b.Name
@@ -221,10 +227,11 @@
 	return v.Owner(hash)
 }
 
-// recoveryNode returns the node that finds the server of an established flow: the
-// owner, or while the owner is suspected to be dead the next in line that is
-// not. Finding moves no flow, so it need not wait until the owner is known to
-// be dead; its callers would have given up by then. Openings do wait.
+// recoveryNode returns the node that recovers the server of an established
+// flow: the owner or, while the owner is suspected to be dead, the next node in
+// the flow's order that is alive. Recovery moves no flow, so it need not wait
+// until the owner is confirmed dead; callers would have given up by then.
+// Openings do wait.
 func (b *Balancer) recoveryNode(v *bronzefleet.View, hash uint64) string {
 	owner := b.owner(v, hash)
 	if v == nil || v.Members[owner].Status != bronzelink.Suspect {
--- a/bronzecore/caller.go
+++ b/bronzecore/caller.go
@@ -5,7 +5,7 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// FromCaller decides on a packet that the fabric handed over.
+// FromCaller decides on a caller's packet that the fabric delivered.
 func (b *Balancer) FromCaller(p *bronzeflow.Packet, out []Action) []Action {
 	return b.FromPeer(p, "", out)
 }
@@ -38,8 +38,8 @@
 	}
 }
 
-// forwardPinned forwards a packet of a flow whose server is known. peer is the node
-// that relayed it, if that may be taught.
+// forwardPinned forwards a packet of a flow whose server is known. peer is the
+// node that relayed the packet and may be sent the mapping, or empty.
 func (d *decision) forwardPinned(e bronzeflow.Entry, peer string) {
 	p := &d.packet
 	if !d.inForce(e.Server) {
@@ -47,9 +47,10 @@
 		return
 	}
 	if e.Echo != 0 && e.Flags&bronzeflow.Confirmed == 0 && p.Echo != 0 {
-		// During a split two sides may each have had an acceptance sent. The
-		// caller took one; its packets would be a half request at the other
-		// server. The echo of the server's number tells which one it took.
+		// During a partition a server of either side may have accepted the
+		// flow. The caller took one acceptance, and its packets would be a
+		// partial request at the other server. The echoed sequence number
+		// tells which acceptance it took.
 		if p.Echo-e.Echo >= echoWindow {
 			d.drop(EchoMismatch)
 			return
@@ -66,13 +67,13 @@
 	d.sendLearn(e, peer)
 }
 
-// echoWindow is how far a caller's first packets may have acknowledged past
-// the server's first byte. A wrong server's number falls into it by chance
+// echoWindow is how far past the server's first byte a caller's first packets
+// may acknowledge. The number of a wrong server falls into the window by chance
 // once in 4,096 times.
 const echoWindow = 1 << 20
 
-// serverGone ends a flow whose server is no longer in force. Its address may
-// be another Customer's by now, so nothing more is sent there.
+// serverGone ends a flow whose server is no longer in force. The server's
+// address may belong to another Customer by now, so nothing is sent there.
 func (d *decision) serverGone() {
 	d.dropEntry()
 	if d.packet.Kind == bronzeflow.Reset {
@@ -82,7 +83,7 @@
 	d.abort(ServerGone)
 }
 
-// handleUnpinned decides on a caller's packet whose flow is not known here, or
+// handleUnpinned decides on a caller's packet whose flow is not known here or
 // whose entry may not be trusted.
 func (d *decision) handleUnpinned(e bronzeflow.Entry, known bool) {
 	if !d.match() {
@@ -108,8 +109,8 @@
 	d.decideAsOwner()
 }
 
-// decidingNode returns the node that decides on a packet of a flow that is not
-// known here.
+// decidingNode returns the node that decides on a packet of kind k whose flow
+// is not known here.
 func (b *Balancer) decidingNode(v *bronzefleet.View, hash uint64, k bronzeflow.Kind) string {
 	switch k {
 	case bronzeflow.Data, bronzeflow.Close, bronzeflow.Reset:
@@ -119,9 +120,9 @@
 	}
 }
 
-// notifyOwner sends the owner a copy of a packet that ended a direction of its flow
-// and went straight to its other end. Without it the owner would count the
-// flow until it expires, and its server would look busy.
+// notifyOwner sends the owner a copy of a packet that ended a direction of its
+// flow and was forwarded without the owner. Otherwise the owner would count the
+// flow until it expires, and the flow's server would look busy.
 func (d *decision) notifyOwner(e bronzeflow.Entry, kind ActionKind) {
 	owner := d.owner(d.view.Load(), d.hash)
 	if e.Flags&bronzeflow.Owned != 0 || owner == d.Name {
--- a/bronzecore/decision.go
+++ b/bronzecore/decision.go
@@ -7,21 +7,22 @@
 	"bronzeusher.example/bronzeusher/bronzelink"
 )
 
-// decision is one call of a Balancer in progress. It stays on the stack, and it
-// holds the packet by value so that the driver's stays there too.
+// decision is the state of one call to a Balancer. It stays on the stack, and
+// it holds the packet by value so that the driver's packet stays there too.
 type decision struct {
 	*Balancer
 	now time.Time
-	// packet is what is decided on; of a message's flow, the key alone.
+	// packet is the packet that is decided on. For a message only its Key is
+	// set.
 	packet bronzeflow.Packet
 	hash   uint64
 	// shard holds the flow's attempt. It is set and locked by lock.
 	shard *attemptShard
-	// service is the one of the packet's destination, set by match.
+	// service is the service of the packet's destination, set by match.
 	service *service
-	// out is what the driver will have to do.
+	// out collects the actions for the driver.
 	out []Action
-	// set is the configuration in force when the call came.
+	// set is the configuration in force at the start of the call.
 	set *serviceSet
 }
 
@@ -31,33 +32,34 @@
 	d.hash = key.Hash()
 }
 
-// resume makes the packet that waits for an attempt the one that is decided on.
+// resume makes the packet held by an attempt the one that is decided on.
 func (d *decision) resume(a *attempt) {
 	d.packet = a.held
 	d.hash = a.hash
 }
 
-// lock locks the flow's shard; the caller unlocks it.
+// lock locks the flow's shard of attempts; the caller unlocks it.
 func (d *decision) lock() {
 	d.shard = &d.shards[d.hash%attemptShards]
 	d.shard.mu.Lock()
 }
 
-// match sets the service, and reports whether one is in force.
+// match sets d.service and reports whether a service in force claims the
+// packet's destination.
 func (d *decision) match() bool {
 	d.service = d.set.match(&d.packet.Key)
 	return d.service != nil
 }
 
 // inForce reports whether server id is in the pool of the service that claims
-// the flow's destination. An instance that moved to another service's pool,
-// or whose address another Customer uses by now, is not: packets of the flow
-// would reach a service that they are not meant for.
+// the flow's destination. It returns false for an instance that moved to
+// another service's pool or whose address another Customer uses by now:
+// packets of the flow would reach a service that they are not meant for.
 func (d *decision) inForce(id bronzeflow.ServerID) bool {
 	return d.set.snapshot.Serves(id, &d.packet.Key)
 }
 
-// entry returns what the table holds of the flow.
+// entry returns the flow's entry in the table.
 func (d *decision) entry() (e bronzeflow.Entry, ok bool) {
 	return d.table.Get(&d.packet.Key, d.hash)
 }
@@ -66,8 +68,9 @@
 	d.out = append(d.out, a)
 }
 
-// addPacketAction adds an action with the packet. It is filled in where it lies, since
-// one more copy of an Action shows in what a packet of a pinned flow costs.
+// addPacketAction appends an action with the packet. The action is filled in
+// place, since another copy of an Action measurably slows the decision on a
+// packet of a pinned flow.
 func (d *decision) addPacketAction(k ActionKind, id bronzeflow.ServerID, r Reason) {
 	d.out = append(d.out, Action{})
 	a := &d.out[len(d.out)-1]
@@ -93,7 +96,7 @@
 	d.add(Action{Kind: Send, Peer: peer, Message: m})
 }
 
-// relay passes the packet on to the node that decides on it; id is the server
+// relay relays the packet to the node that decides on it; id is the server
 // that a RelayReply came from.
 func (d *decision) relay(kind ActionKind, id bronzeflow.ServerID, owner string) {
 	if d.packet.Hops >= MaxHops {
@@ -105,19 +108,19 @@
 	d.add(Action{Kind: kind, Server: id, Peer: owner, Packet: q})
 }
 
-// refuse gives the caller of the packet its refusal.
+// refuse refuses the caller of the packet.
 func (d *decision) refuse(r Reason) {
 	d.add(d.refuseAction(&d.packet, r))
 }
 
-// abort gives the caller of the packet its abortion.
+// abort ends the flow of the packet's caller.
 func (d *decision) abort(r Reason) {
 	d.add(d.abortAction(&d.packet, r))
 }
 
-// refuseAction is the final answer to a caller none of whose payload was
-// forwarded. While the fleet is split, the other side may have opened the
-// same flow and run requests of it, so no such claim is made.
+// refuseAction returns the final answer to a caller none of whose payload was
+// forwarded. While the fleet is partitioned, the other side may have opened the
+// same flow and run requests of it, so the answer is an Abort without a claim.
 func (b *Balancer) refuseAction(p *bronzeflow.Packet, r Reason) Action {
 	if b.partitioned() {
 		return b.abortAction(p, r)
@@ -125,12 +128,13 @@
 	return Action{Kind: Refuse, Packet: *p, Reason: r, RetryAfter: b.Timing.RetryAfter}
 }
 
-// abortAction is the final answer without a claim about what ran.
+// abortAction returns the final answer without a claim about what was run.
 func (b *Balancer) abortAction(p *bronzeflow.Packet, r Reason) Action {
 	return Action{Kind: Abort, Packet: *p, Reason: r, RetryAfter: b.Timing.RetryAfter}
 }
 
-// partitioned reports whether another side may be placing the same flows.
+// partitioned reports whether another side of a partition may be placing the
+// same flows.
 func (b *Balancer) partitioned() bool {
 	v := b.view.Load()
 	return v != nil && v.Partitioned
--- a/bronzecore/doc.go
+++ b/bronzecore/doc.go
@@ -1,24 +1,26 @@
-// Package bronzecore makes the decisions of one balancer: which service a
-// packet is for, which backend server its flow is pinned to, whether it goes
-// straight there, to the flow's owner among the nodes, or nowhere, and how a
-// flow is found again after the nodes or the pool have changed.
+// Package bronzecore implements the decisions of one balancer: which service
+// a packet is for, which backend server its flow is pinned to, whether the
+// packet is forwarded to that server, relayed to the node that owns the flow,
+// or dropped, and how the server of a flow is recovered after the fleet or the
+// pool has changed.
 //
-// It opens no socket and starts no goroutine. Its inputs are packets as
-// [bronzeflow.Packet], messages of other nodes, configurations, views of the
-// fleet and the clock of the runtime; its outputs are values of type [Action]
-// that a driver carries out. Every method appends its actions to a slice and
-// returns it, so that a driver can reuse one slice for all packets.
+// The package opens no sockets and starts no goroutines. Its inputs are
+// packets ([bronzeflow.Packet]), messages from other nodes, configuration
+// snapshots, views of the fleet and the runtime's clock. Its outputs are
+// values of type [Action], which a driver carries out. The methods that decide
+// append their actions to a slice and return it, so that a driver can reuse
+// one slice for all packets.
 //
-// # Rules that every decision keeps
+// # Invariants
 //
-//   - The owner of a flow alone places it. Others relay to the owner until
-//     they have learned where the flow is pinned.
-//   - Payload goes only to a server that is confirmed for the flow: it
-//     accepted, or another node or the server itself knows the flow.
-//   - The first forwarded payload commits the flow to its server for ever,
-//     unless the service's record says that its requests are idempotent.
-//   - A caller is told that nothing ran ([Refuse]) only if no payload of the
-//     flow was forwarded; otherwise its flow is ended without a claim
+//   - Only the owner of a flow places it. Other nodes relay to the owner until
+//     they have learned which server the flow is pinned to.
+//   - Payload is forwarded only to a server that is confirmed for the flow: it
+//     accepted the flow, or another node or the server itself knows the flow.
+//   - The first forwarded payload commits the flow to its server permanently,
+//     unless the service's record declares its requests idempotent.
+//   - A caller is told that nothing was run ([Refuse]) only if no payload of
+//     the flow was forwarded. Otherwise its flow is ended without that claim
 //     ([Abort]).
 //
 // # Usage
@@ -34,7 +36,7 @@
 //		}
 //	}
 //
-// and, every [TickInterval]:
+// In addition, every [TickInterval]:
 //
 //	out = b.Tick(out[:0])
 package bronzecore
--- a/bronzecore/entry.go
+++ b/bronzecore/entry.go
@@ -7,30 +7,32 @@
 	"bronzeusher.example/bronzeusher/bronzelink"
 )
 
-// touch notes that a flow is in use, once a second at most. An entry that is
-// not trusted is never touched, which would make it look trusted.
+// touch updates the time of last use of the flow's entry, at most once a
+// second. It must not be called for an entry that is not trusted, since that
+// would make it look trusted.
 func (d *decision) touch(e bronzeflow.Entry) {
 	if s := d.seconds(d.now); e.Used != s {
 		d.table.Touch(&d.packet.Key, d.hash, s)
 	}
 }
 
-// trusted reports whether an entry may be acted on without asking anyone.
+// trusted reports whether an entry may be acted on without asking other nodes.
 func (b *Balancer) trusted(e bronzeflow.Entry, now time.Time) bool {
 	s := b.seconds(now)
 	if e.Flags&bronzeflow.Owned != 0 {
-		// After a pause another node may have taken the flow over, ended it
+		// During a pause another node may have taken over the flow, ended it
 		// and placed a new one under the same key. Entries from before the
-		// pause are checked once; a caller sees one retransmission.
+		// pause are rechecked once, which costs the caller a retransmission.
 		return e.Used >= b.unfencedAt.Load() && (s-e.Used <= 1 || !b.fenced(b.view.Load()))
 	}
-	// The owner remembers a closed flow for longer than Learned, so a key
-	// that is used again can't have moved while this entry was trusted.
+	// The owner keeps the entry of a closed flow for longer than
+	// LearnedIdleTimeout, so a reused key can't have moved to another server
+	// while this entry was trusted.
 	return s-e.Used <= toSeconds(b.Timing.LearnedIdleTimeout) && s-e.Opened <= toSeconds(b.Timing.LearnedMaxAge)
 }
 
-// ownedEntry returns a new entry of the flow for this node as its owner;
-// derivable tells whether any node can compute that the flow is at server id.
+// ownedEntry returns a new entry for a flow that this node owns; derivable
+// tells whether any node can compute that the flow is at server id.
 func (d *decision) ownedEntry(id bronzeflow.ServerID, state bronzeflow.State, derivable bool) bronzeflow.Entry {
 	e := bronzeflow.Entry{
 		Server: id,
@@ -45,7 +47,7 @@
 	return e
 }
 
-// putLearned remembers a flow that another node owns.
+// putLearned stores an entry for a flow that another node owns.
 func (d *decision) putLearned(e bronzeflow.Entry) {
 	e.Used = d.seconds(d.now)
 	e.Opened = e.Used
@@ -54,28 +56,29 @@
 	d.table.Put(&d.packet.Key, d.hash, e)
 }
 
-// dropLearned forgets an entry that another node told or showed.
+// dropLearned deletes an entry unless this node owns its flow.
 func (d *decision) dropLearned(e bronzeflow.Entry) {
 	if e.Flags&bronzeflow.Owned == 0 {
 		d.table.Delete(&d.packet.Key, d.hash)
 	}
 }
 
-// dropEntry drops the flow's entry with all it holds.
+// dropEntry deletes the flow's entry and releases what it holds.
 func (d *decision) dropEntry() {
 	if e, ok := d.table.Delete(&d.packet.Key, d.hash); ok {
 		d.release(&d.packet.Key, e)
 	}
 }
 
-// markEnded records an end in the flow's entry. A flow whose both sides have
-// closed is Closed, and gives its place at the server back.
-func (d *decision) markEnded(side bronzeflow.Flags, whole bool) {
+// markEnded records in the flow's entry that a side has ended the flow. Once
+// both sides have, or if one aborted it, the flow becomes Closed and is no
+// longer counted at its server.
+func (d *decision) markEnded(side bronzeflow.Flags, aborted bool) {
 	const both = bronzeflow.CallerClosed | bronzeflow.ServerClosed
 	var freed bronzeflow.Entry
 	d.table.Update(&d.packet.Key, d.hash, func(e *bronzeflow.Entry) {
 		e.Flags |= side
-		if e.State == bronzeflow.Closed || (!whole && e.Flags&both != both) {
+		if e.State == bronzeflow.Closed || (!aborted && e.Flags&both != both) {
 			return
 		}
 		freed = *e
@@ -86,7 +89,8 @@
 	}
 }
 
-// release gives back what a flow held at its server and in the limits.
+// release removes an owned flow from the counts of its server and service, and
+// queues the removal of its successor's copy.
 func (b *Balancer) release(key *bronzeflow.Key, e bronzeflow.Entry) {
 	if e.Flags&bronzeflow.Owned == 0 || e.State == bronzeflow.Closed {
 		return
@@ -97,7 +101,7 @@
 	b.uncount(key, e)
 }
 
-// uncount takes a flow out of the counts of its server and its service.
+// uncount removes a flow from the counts of its server and its service.
 func (b *Balancer) uncount(key *bronzeflow.Key, e bronzeflow.Entry) {
 	set := b.services.Load()
 	svc, _, ok := set.snapshot.Server(e.Server)
@@ -109,7 +113,7 @@
 	}
 }
 
-// onEvict is called by the table when it makes room.
+// onEvict releases an entry that the table evicts to make room.
 func (b *Balancer) onEvict(key bronzeflow.Key, e bronzeflow.Entry) {
 	b.release(&key, e)
 }
