--- a/bronzecore/copy.go
+++ b/bronzecore/copy.go
@@ -9,27 +9,29 @@
 	"bronzeusher.example/bronzeusher/bronzelink"
 )
 
-// DefaultCopyBytesPerSecond is the pace of copies when nothing is set: a
-// third of a node's control budget.
+// DefaultCopyBytesPerSecond is the default rate limit of copies: a third of a
+// node's budget for control traffic.
 const DefaultCopyBytesPerSecond = 2048
 
 const (
-	// copyMessageBytes and copyItemBytes are what a message of copies takes
-	// on the network, its headers included: so much, and so much more for
-	// each item. By its item alone a lone copy would pass for a quarter of
-	// what it takes, and in a large fleet nearly all travel alone.
+	// A message of copies takes copyMessageBytes on the network, including
+	// its headers, plus copyItemBytes for each item. Counting items alone
+	// would account for only a quarter of a message with a single copy, and
+	// in a large fleet nearly all messages carry a single copy.
 	copyMessageBytes = 60
 	copyItemBytes    = 20
-	// maxCopyBatch is the most items in one message: it fits a datagram.
+	// maxCopyBatch is the maximum number of items in a message, so that it
+	// fits a datagram.
 	maxCopyBatch = 48
-	// copyResendInterval is after how long an item without acknowledgement goes
-	// again.
+	// copyResendInterval is how long an item may stay unacknowledged before it
+	// is sent again.
 	copyResendInterval = time.Second
-	// copyShards divides the copies held for other owners.
+	// copyShards is the number of shards of a copyStore.
 	copyShards = 64
 )
 
-// copyStore holds the exceptions that other owners have copied here.
+// copyStore holds the copies of other owners' exceptions: the server of each
+// flow by the flow's hash.
 type copyStore struct {
 	shards [copyShards]struct {
 		mu sync.Mutex
@@ -94,7 +96,7 @@
 	openedAt uint32 // the second at which the flow was opened
 }
 
-// unackedCopy is a copy that has not been acknowledged.
+// unackedCopy is a copy, or the removal of one, that has not been acknowledged.
 type unackedCopy struct {
 	key     bronzeflow.Key
 	peer    string
@@ -103,8 +105,9 @@
 	id      bronzeflow.ServerID
 }
 
-// copier paces the copies of this owner's exceptions to their successors:
-// the oldest flows first, since those that lived long live longest.
+// copier sends copies of this owner's exceptions to their successors at a
+// limited rate. The oldest flows are copied first, since a flow that has lived
+// long is likely to live longest.
 type copier struct {
 	mu       sync.Mutex
 	rate     float64
@@ -122,7 +125,7 @@
 	c.rate = float64(bytesPerSecond)
 }
 
-// add queues an exception for its copy.
+// add queues an exception to be copied.
 func (c *copier) add(key bronzeflow.Key, hash uint64, from uint32) {
 	if c.rate < 0 {
 		return
@@ -132,9 +135,9 @@
 	c.queue = append(c.queue, pendingCopy{key: key, hash: hash, openedAt: from})
 }
 
-// queueRemoval queues the end of a copied exception. It is acknowledged like a copy:
-// a copy that outlived its flow would name the wrong server for the next flow
-// under the same key, if that flow's owner died.
+// queueRemoval queues the removal of an exception's copy. It is acknowledged
+// like a copy: a copy that outlived its flow would name the wrong server for
+// the next flow under the same key, if that flow's owner died.
 func (c *copier) queueRemoval(hash uint64, id bronzeflow.ServerID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -148,21 +151,22 @@
 	return len(c.queue) + len(c.unacked)
 }
 
-// takeDue returns what may be sent now: the exceptions that were open at the
-// second before, and ends; successor names the node that each goes to. It
-// returns nothing until a second's worth is saved up: when much is waiting,
-// what goes to one node then travels together, which takes down to a quarter
-// of the bytes; when little is, a second's worth is saved up soon again.
-func (c *copier) takeDue(now time.Time, before uint32, successor func(hash uint64) string) (items []pendingCopy, gones []bronzelink.CopyItem) {
+// takeDue returns what may be sent now: exceptions that were opened no later
+// than the second openedBy, and removals. successor returns the node that each
+// goes to. Nothing is returned until a second's worth of tokens has
+// accumulated, so that under load items for the same node share a message,
+// which takes as little as a quarter of the bytes. Under light load a second's
+// worth accumulates again soon.
+func (c *copier) takeDue(now time.Time, openedBy uint32, successor func(hash uint64) string) (items []pendingCopy, removals []bronzelink.CopyItem) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.refill.IsZero() {
 		c.refill = now
 	}
-	most := max(c.rate, copyMessageBytes+copyItemBytes)
-	c.tokens = min(c.tokens+now.Sub(c.refill).Seconds()*c.rate, most)
+	maxTokens := max(c.rate, copyMessageBytes+copyItemBytes)
+	c.tokens = min(c.tokens+now.Sub(c.refill).Seconds()*c.rate, maxTokens)
 	c.refill = now
-	if c.tokens < most {
+	if c.tokens < maxTokens {
 		return nil, nil
 	}
 	batches := make(map[string]int)
@@ -170,36 +174,36 @@
 	for n < len(c.removals) && c.reserve(batches, successor(c.removals[n].Hash)) {
 		n++
 	}
-	gones = append(gones, c.removals[:n]...)
+	removals = append(removals, c.removals[:n]...)
 	c.removals = c.removals[n:]
 	n = 0
-	for n < len(c.queue) && c.queue[n].openedAt <= before && c.reserve(batches, successor(c.queue[n].hash)) {
+	for n < len(c.queue) && c.queue[n].openedAt <= openedBy && c.reserve(batches, successor(c.queue[n].hash)) {
 		n++
 	}
 	items = append(items, c.queue[:n]...)
 	c.queue = c.queue[n:]
-	return items, gones
+	return items, removals
 }
 
-// reserve takes the bytes of one more item for peer, if they are saved up;
-// batches counts the items that go to each node.
+// reserve takes the tokens for one more item for peer and reports whether there
+// were enough; batches counts the items for each node.
 func (c *copier) reserve(batches map[string]int, peer string) bool {
 	if peer == "" {
-		return true // it is not sent
+		return true // nothing is sent
 	}
-	price := float64(copyItemBytes)
+	cost := float64(copyItemBytes)
 	if batches[peer]%maxCopyBatch == 0 {
-		price += copyMessageBytes
+		cost += copyMessageBytes
 	}
-	if c.tokens < price {
+	if c.tokens < cost {
 		return false
 	}
 	batches[peer]++
-	c.tokens -= price
+	c.tokens -= cost
 	return true
 }
 
-// trackUnacked remembers a copy until it is acknowledged.
+// trackUnacked records a copy or removal until it is acknowledged.
 func (c *copier) trackUnacked(hash uint64, s unackedCopy) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -209,7 +213,8 @@
 	c.unacked[hash] = s
 }
 
-// requeueOverdue queues copies without acknowledgement again.
+// requeueOverdue queues copies and removals again that were not acknowledged in
+// time.
 func (c *copier) requeueOverdue(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -226,7 +231,8 @@
 	}
 }
 
-// acknowledge returns the keys of the flows whose copies have arrived.
+// acknowledge stops tracking the given hashes and returns the keys of those
+// flows that the successor has a copy of.
 func (c *copier) acknowledge(hashes []uint64) (keys []bronzeflow.Key) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -244,7 +250,8 @@
 }
 
 // successor returns the node that should hold the copy of a flow: the next
-// owner if this node is the owner, otherwise the owner.
+// owner if this node is the owner, otherwise the owner. It returns "" if there
+// is no other node.
 func (b *Balancer) successor(hash uint64) string {
 	return successorIn(b.view.Load(), b.Name, hash)
 }
@@ -262,14 +269,14 @@
 	return ""
 }
 
-// sendCopies sends what the pace allows.
+// sendCopies sends the copies and removals that the rate limit allows.
 func (b *Balancer) sendCopies(now time.Time, out []Action) []Action {
 	b.copier.requeueOverdue(now)
 	age := toSeconds(b.Timing.MinCopyAge)
 	if b.leaving.Load() {
 		age = 0
 	}
-	items, gones := b.copier.takeDue(now, b.seconds(now)-min(age, b.seconds(now)), b.successor)
+	items, removals := b.copier.takeDue(now, b.seconds(now)-min(age, b.seconds(now)), b.successor)
 	batches := make(map[string][]bronzelink.CopyItem)
 	for _, w := range items {
 		if peer := b.successor(w.hash); peer != "" {
@@ -279,7 +286,7 @@
 			}
 		}
 	}
-	for _, g := range gones {
+	for _, g := range removals {
 		if peer := b.successor(g.Hash); peer != "" {
 			batches[peer] = append(batches[peer], g)
 			b.copier.trackUnacked(g.Hash, unackedCopy{peer: peer, sentAt: now, removal: true, id: g.Server})
@@ -296,7 +303,8 @@
 	return out
 }
 
-// copyOf returns the copy of a flow that is still an established exception.
+// copyOf returns the item that copies a flow. ok is false if the flow is no
+// longer an established exception that this node owns.
 func (b *Balancer) copyOf(w *pendingCopy) (item bronzelink.CopyItem, ok bool) {
 	const want = bronzeflow.Owned | bronzeflow.Exception
 	e, ok := b.table.Get(&w.key, w.hash)
@@ -306,7 +314,8 @@
 	return bronzelink.CopyItem{Hash: w.hash, Server: e.Server}, true
 }
 
-// handleCopies keeps the exceptions of another owner and acknowledges them.
+// handleCopies stores copies of another owner's exceptions, or removes them, and
+// acknowledges them.
 func (b *Balancer) handleCopies(items []bronzelink.CopyItem, peer string, out []Action) []Action {
 	acks := make([]uint64, 0, len(items))
 	for _, i := range items {
@@ -320,6 +329,7 @@
 	return append(out, Action{Kind: Send, Peer: peer, Message: &bronzelink.FlowMessage{CopyAcks: acks}})
 }
 
+// handleCopyAcks marks the acknowledged flows as copied.
 func (b *Balancer) handleCopyAcks(hashes []uint64) {
 	for _, key := range b.copier.acknowledge(hashes) {
 		b.table.Update(&key, key.Hash(), func(e *bronzeflow.Entry) { e.Flags |= bronzeflow.Copied })
--- a/bronzecore/message.go
+++ b/bronzecore/message.go
@@ -5,8 +5,8 @@
 	"bronzeusher.example/bronzeusher/bronzelink"
 )
 
-// HandleMessage handles a message about flows from the node peer. Messages may be
-// lost, doubled and late; each is idempotent.
+// HandleMessage handles a message about flows from the node peer. Messages may
+// be lost, duplicated or delayed; handling one is idempotent.
 func (b *Balancer) HandleMessage(m *bronzelink.FlowMessage, peer string, out []Action) []Action {
 	b.init()
 	d := decision{Balancer: b, now: b.clock(), out: out, set: b.services.Load()}
@@ -31,7 +31,8 @@
 	return d.out
 }
 
-// handleLearn takes in where the owner of a flow has pinned it.
+// handleLearn stores the mapping that a flow's owner sent, unless this node
+// owns the flow.
 func (d *decision) handleLearn(m *bronzelink.Mapping) {
 	if e, ok := d.entry(); ok && e.Flags&bronzeflow.Owned != 0 {
 		return
@@ -42,22 +43,24 @@
 	d.putLearned(bronzeflow.Entry{Server: m.Server, Echo: m.Echo, Flags: m.Flags})
 }
 
-// The pace of Learn messages. Almost all is learned from the servers'
-// answers, which cost nothing; only flows without answers need messages, and
-// only those that live long are worth them.
+// The rate limits of Learn messages. Nodes learn nearly all mappings from the
+// servers' answers, which cost nothing extra. Only flows without answers need
+// messages, and only long-lived ones are worth the bytes.
 const (
 	learnBytes          = 100
 	learnBytesPerSecond = 512
 	learnBurst          = 2048
-	// The pace of teaching flows whose callers send again. Lost packets are
-	// rare, so this is used when paths go silent, and then it is urgent.
+	// The rate limit of Learn messages for flows whose callers retransmit.
+	// Lost packets are rare, so the limit matters when paths go silent, and
+	// then the messages are urgent.
 	retransmitLearnBytesPerSecond = 1024
 	retransmitLearnBurst          = 64 << 10
 )
 
-// sendLearn tells a node that relayed the packet where its flow is pinned. An owner whose
-// caller sends the same again tells others, also if the packet entered here: its own
-// path to the server may be the one that is silent.
+// sendLearn sends the flow's mapping to the node that relayed the packet. If
+// the caller retransmits, the mapping is sent to further nodes, for a flow that
+// this node owns even if the packet was not relayed: this node's own path to
+// the server may be the silent one.
 func (d *decision) sendLearn(e bronzeflow.Entry, peer string) {
 	if e.State != bronzeflow.Established || peer == "" && e.Flags&bronzeflow.Owned == 0 {
 		return
@@ -73,8 +76,8 @@
 	d.send(peer, &bronzelink.FlowMessage{Learn: &m})
 }
 
-// isRetransmission notes a relayed piece of payload, and reports whether it is the
-// same as the last one.
+// isRetransmission records the sequence number of the packet's payload and
+// reports whether it equals the previous one.
 func (d *decision) isRetransmission(e bronzeflow.Entry) bool {
 	last := uint16(d.packet.Sequence)
 	if e.LastRelayedSequence == last {
@@ -84,18 +87,18 @@
 	return false
 }
 
-// sendLearnToPeers tells other nodes where a flow is pinned whose caller has to send
-// the same again: the path from here to the server may have lost track of the
-// flow, while the others' paths work. The caller's next try then goes by one
-// of those, to the same server.
+// sendLearnToPeers sends the mapping of a flow whose caller retransmits to
+// other nodes. The path from this node to the server may have lost track of the
+// flow while the paths of other nodes work; the caller's next retransmission
+// can then reach the same server through one of them.
 func (d *decision) sendLearnToPeers(e bronzeflow.Entry) {
 	v := d.view.Load()
 	if v == nil {
 		return
 	}
 	m := mapping(d.packet.Key, e)
-	known := &attempt{hash: d.hash, widened: true}
-	for i, name := range known.queryTargets(v) {
+	lookup := &attempt{hash: d.hash, widened: true}
+	for i, name := range lookup.queryTargets(v) {
 		if name == d.Name {
 			continue
 		}
@@ -106,7 +109,7 @@
 	}
 }
 
-// handleQuery answers a node that owns a flow and doesn't know it.
+// handleQuery answers a node that owns a flow but doesn't know it.
 func (d *decision) handleQuery(peer string) {
 	d.lock()
 	defer d.shard.mu.Unlock()
@@ -117,7 +120,8 @@
 	d.send(peer, &bronzelink.FlowMessage{Answer: &m})
 }
 
-// knownMapping returns what this node knows of the flow.
+// knownMapping returns what this node knows of the flow. Server is 0 if it
+// knows nothing.
 func (d *decision) knownMapping() bronzelink.Mapping {
 	key := d.packet.Key
 	if e, ok := d.entry(); ok && d.trusted(e, d.now) {
@@ -132,8 +136,8 @@
 	return bronzelink.Mapping{Key: key}
 }
 
-// handOver makes the flow another owner's: it is no longer counted here, and a
-// pending attempt is no longer retried here, so that only one owner tries.
+// handOver gives up ownership of the flow: it is no longer counted here, and a
+// pending attempt is no longer retried here, so that only one owner retries.
 func (d *decision) handOver() {
 	e, ok := d.entry()
 	if !ok || e.Flags&bronzeflow.Owned == 0 {
@@ -153,8 +157,8 @@
 	d.table.Put(key, d.hash, e)
 }
 
-// sendForget tells all nodes that the flow's key no longer meets the server that
-// they may have learned for it.
+// sendForget tells all other nodes to drop what they learned of the flow, since
+// its key is moving to another server.
 func (d *decision) sendForget() {
 	v := d.view.Load()
 	if v == nil {
@@ -169,6 +173,7 @@
 	}
 }
 
+// handleForget drops the flow's entry unless this node owns the flow.
 func (d *decision) handleForget() {
 	if e, ok := d.entry(); ok {
 		d.dropLearned(e)
--- a/bronzecore/owner.go
+++ b/bronzecore/owner.go
@@ -5,8 +5,8 @@
 	"bronzeusher.example/bronzeusher/bronzelink"
 )
 
-// decideAsOwner decides, as the flow's owner, on a caller's packet that no trusted
-// entry answers. The service is matched.
+// decideAsOwner decides, as the flow's owner, on a caller's packet that can't
+// simply be forwarded by a trusted entry. match must have been called.
 func (d *decision) decideAsOwner() {
 	d.lock()
 	defer d.shard.mu.Unlock()
@@ -45,31 +45,33 @@
 		d.drop(Recovering)
 		d.reprobe(a)
 	case p.Kind == bronzeflow.Open:
-		// The caller retransmits: the same server gets the same opening.
+		// The caller retransmits, so the same server gets the opening again.
 		a.hold(p)
 		a.committed = a.committed || p.Payload > 0
 		d.forward(a.server(), None)
 	default:
-		// Data can't precede the acceptance that this owner has not seen. A
-		// former owner let one through; the opening was a late duplicate.
+		// A caller sends data only after an acceptance. This owner has seen
+		// none, so a former owner passed one on, and the opening was a late
+		// duplicate.
 		d.abandon(a)
 		d.recover()
 	}
 }
 
-// withdraw ends an attempt whose server is out of force, or whose service no
-// longer has the flow's destination: its opening must reach nobody now.
+// withdraw cancels an attempt whose server is no longer in force or whose
+// service no longer claims the flow's destination: no server may get its
+// opening any more.
 func (d *decision) withdraw(a *attempt) {
 	d.cancel(a, ServerGone)
 	d.abandon(a)
 }
 
-// cancel tells the server of an attempt that its flow is given up there.
+// cancel tells the current server of an attempt that the flow is given up there.
 func (d *decision) cancel(a *attempt, r Reason) {
 	d.add(Action{Kind: Cancel, Server: a.server(), Packet: a.held, Reason: r})
 }
 
-// callerGone ends an attempt whose caller has given up.
+// callerGone ends an attempt whose caller has closed or reset the flow.
 func (d *decision) callerGone(a *attempt) {
 	if a.phase == opening {
 		d.forward(a.server(), CallerGone)
@@ -79,7 +81,7 @@
 	d.abandon(a)
 }
 
-// abandon forgets an attempt and what it holds.
+// abandon removes an attempt and the entry of its pending opening.
 func (d *decision) abandon(a *attempt) {
 	d.shard.remove(a)
 	if e, ok := d.entry(); ok && e.State == bronzeflow.Pending {
@@ -87,21 +89,22 @@
 	}
 }
 
-// discard forgets an attempt and drops the packet that waits.
+// discard removes an attempt and drops the packet that it holds.
 func (d *decision) discard(a *attempt, r Reason) {
 	d.shard.remove(a)
 	d.add(Action{Kind: Drop, Packet: a.held, Reason: r})
 }
 
-// reopen handles a packet of a flow that the owner has a trusted entry of:
-// an Open, whose key is in use or was until lately.
+// reopen handles an Open whose key has a trusted entry at the owner: the key is
+// in use or was until recently.
 func (d *decision) reopen(e bronzeflow.Entry) {
 	if !d.inForce(e.Server) {
 		d.serverGone()
 		return
 	}
 	if e.State != bronzeflow.Closed {
-		// A late duplicate, or a caller that restarted: its server tells.
+		// Either a late duplicate or a caller that restarted. The server can
+		// tell them apart.
 		d.forward(e.Server, None)
 		return
 	}
@@ -115,13 +118,13 @@
 		d.place(a, e.Server)
 		return
 	}
-	// The key moves to another server while other nodes may have learned
-	// the old one; they are told before they could forward to it.
+	// The key moves to another server, and other nodes may have learned the
+	// old one. They are told to forget it before they could forward to it.
 	d.sendForget()
 	d.place(a, 0)
 }
 
-// open starts to place a new flow.
+// open starts an attempt to place a new flow.
 func (d *decision) open() {
 	if d.leaving.Load() {
 		d.drop(Draining)
@@ -147,16 +150,16 @@
 		d.place(a, 0)
 		return
 	}
-	// The former owner may have placed this flow a moment ago. Placing it
-	// again without asking could open it at two servers.
+	// A former owner may just have placed this flow. Placing it again without
+	// a query could open it at two servers.
 	d.query(a)
 	if len(a.outstanding) == 0 {
 		d.place(a, 0)
 	}
 }
 
-// newAttempt starts an attempt for the packet, or returns nil if there is no
-// room.
+// newAttempt starts an attempt for the packet. It returns nil if the shard is
+// full.
 func (d *decision) newAttempt() *attempt {
 	a := d.shard.add(&d.packet, d.hash, d.now)
 	if a != nil {
@@ -166,8 +169,9 @@
 	return a
 }
 
-// forwardUnknownReset passes a caller's reset of an unknown flow on as well as it
-// can. A reset runs nothing, also at a server that doesn't know the flow.
+// forwardUnknownReset forwards a caller's reset of an unknown flow to the
+// server that most likely has the flow. A reset runs nothing, even at a server
+// that doesn't know the flow.
 func (d *decision) forwardUnknownReset() {
 	id, ok := d.copies.get(d.hash)
 	if !ok {
--- a/bronzecore/place.go
+++ b/bronzecore/place.go
@@ -4,8 +4,8 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// place admits the flow of an attempt and sends its opening to a server:
-// to prefer if that is not 0, otherwise to the pool's choice.
+// place admits the flow of an attempt and sends its opening to a server: to
+// prefer if it is not 0, otherwise to the server that the pool chooses.
 func (d *decision) place(a *attempt, prefer bronzeflow.ServerID) {
 	if r := d.service.admit(); r != None {
 		d.shard.remove(a)
@@ -18,8 +18,8 @@
 	d.try(a, prefer, None)
 }
 
-// try sends the opening to the next server. The flow is admitted. why is the
-// reason for which the last server didn't take it.
+// try sends the opening of an admitted flow to the next server. why is the
+// reason why the previous server didn't take the flow, or None.
 func (d *decision) try(a *attempt, prefer bronzeflow.ServerID, why Reason) {
 	id, first, ok := d.choose(a, prefer)
 	if !ok {
@@ -33,7 +33,7 @@
 	e := d.ownedEntry(id, bronzeflow.Pending, first)
 	datagram := a.held.Kind == bronzeflow.Datagram
 	if datagram {
-		// A datagram is payload: it commits its flow at once.
+		// A datagram is payload, so it commits its flow immediately.
 		e.State = bronzeflow.Established
 		e.Flags |= bronzeflow.Committed
 	}
@@ -49,14 +49,14 @@
 	}
 }
 
-// choose returns the next server for an attempt, and whether it is the one
-// that any node computes.
+// choose returns the next server for an attempt. first reports whether any node
+// can compute that the flow is there.
 func (d *decision) choose(a *attempt, prefer bronzeflow.ServerID) (id bronzeflow.ServerID, first, ok bool) {
 	if prefer != 0 {
 		return prefer, d.service.derivable(&a.key, a.hash, prefer), true
 	}
-	// A flow of datagrams can't be told from a new one where it isn't
-	// known, so it goes where any node computes it to be.
+	// A node that doesn't know a flow of datagrams can't distinguish it from a
+	// new one, so the flow goes to the server that any node computes for it.
 	plain := d.partitioned() || a.held.Kind == bronzeflow.Datagram
 	return d.service.pool.Choose(a.hash, a.tried, plain)
 }
@@ -68,7 +68,8 @@
 	return b
 }
 
-// countEstablished counts a flow that a server has taken.
+// countEstablished counts a flow as established and queues its copy if it is an
+// exception.
 func (d *decision) countEstablished(a *attempt, e bronzeflow.Entry) {
 	d.service.account.Established()
 	if e.Flags&bronzeflow.Exception != 0 {
@@ -76,9 +77,9 @@
 	}
 }
 
-// retry tries the next server after the current one refused or stayed
-// silent, if the budget and the deadline allow. Until here no payload was
-// forwarded, or the service's requests are idempotent.
+// retry tries the next server after the current one refused or did not answer,
+// if the deadline, the number of attempts and the retry budget allow it and
+// either no payload was forwarded or the service's requests are idempotent.
 func (d *decision) retry(a *attempt, why Reason) {
 	d.removePlacement(a)
 	rule := &d.service.conf.Retry
@@ -96,23 +97,24 @@
 	}
 }
 
-// removePlacement takes the current server's entry of an attempt back.
+// removePlacement removes the entry of an attempt and the flow's count at the
+// current server.
 func (d *decision) removePlacement(a *attempt) {
 	if _, ok := d.table.Delete(&a.key, a.hash); ok {
 		d.service.pool.Ended(a.server())
 	}
 }
 
-// giveUp gives the caller its final answer at once. Its attempt holds no
-// entry any more.
+// giveUp ends an attempt with a final answer to the caller. The attempt must
+// not have an entry any more.
 func (d *decision) giveUp(a *attempt, r Reason) {
 	d.shard.remove(a)
 	d.service.account.Ended(false)
 	d.add(d.finalAction(a, r))
 }
 
-// finalAction is the answer to the caller of an attempt. If something of it may have
-// run, no claim is made.
+// finalAction returns the final answer to the caller of an attempt: an Abort if
+// something of the flow may have been run, otherwise a refusal.
 func (b *Balancer) finalAction(a *attempt, r Reason) Action {
 	if a.committed || a.partitioned {
 		return b.abortAction(&a.held, r)
--- a/bronzecore/probe.go
+++ b/bronzecore/probe.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// requeryFactor is after how many times Timing.Query nodes are asked again
-	// about a flow that is still unknown.
+	// requeryFactor times Timing.QueryTimeout is the interval at which other
+	// nodes are queried again about a flow that is still unknown.
 	requeryFactor = 8
-	// reprobeFactor is after how many times Timing.Probe servers that have not
-	// answered are probed again when the caller repeats itself.
+	// reprobeFactor times Timing.ProbeTimeout must have passed before servers
+	// that have not answered are probed again on a caller's retransmission.
 	reprobeFactor = 8
-	// maxProbes bounds how many servers are asked about one unknown flow.
+	// maxProbes is the maximum number of servers probed for an unknown flow.
 	maxProbes = 16
 )
 
-// probe asks further candidates whether they know the flow: first the one
-// that it most likely is at, then the others together. A server without the
-// connection answers a probe with a reset and runs nothing.
+// probe asks further candidates whether they know the flow: first the most
+// likely one, then the others together. A server without the connection answers
+// a probe with a reset and runs nothing.
 func (d *decision) probe(a *attempt) {
 	if !d.match() {
 		d.discard(a, NoService)
@@ -39,7 +39,7 @@
 	}
 }
 
-// probeCandidates probes the next candidates, and reports whether there were any.
+// probeCandidates probes the next candidates and reports whether there were any.
 func (d *decision) probeCandidates(a *attempt) (sent bool) {
 	n := 1
 	if len(a.tried) > 0 {
@@ -57,11 +57,12 @@
 	return sent
 }
 
-// reprobe probes those servers again that have not answered, when the flow's
-// caller repeats its packet. While nodes notice at different times that the flow's
-// owner is gone, answers enter by some that still relay them to it: of a fleet that is
-// cut in two 1 to 4 of 5,500 flows were lost between ends that reach each other, since
-// each server was asked once, and 0 to 1 are now (the demo, 15 s, three seeds).
+// reprobe probes the servers that have not answered again when the flow's
+// caller retransmits. Nodes notice at different times that the flow's owner is
+// gone; an answer that enters by a node that has not noticed yet is relayed to
+// that owner and lost. When each server was probed only once, a partition lost
+// 1 to 4 of 5,500 flows whose ends could reach each other; with repeated probes
+// 0 to 1 are lost (15 s demo, three seeds).
 func (d *decision) reprobe(a *attempt) {
 	if a.phase != probing || d.now.Sub(a.lastProbed) < reprobeFactor*d.Timing.ProbeTimeout {
 		return
@@ -74,18 +75,20 @@
 	}
 }
 
-// requery asks the nodes again while probes are out. A server that was
-// asked is silent: it may be the one, or its answer entered by a node that has
-// learned the flow, and went on to the caller. Such a node can tell.
+// requery queries the other nodes again while several probes are unanswered.
+// One of these servers may have the flow, and its answer may have entered by a
+// node that has learned the flow and forwarded the answer to the caller. Such a
+// node can answer the query.
 func (d *decision) requery(a *attempt) {
 	d.query(a)
 	a.phase = probing
 	a.phaseDeadline = d.now.Add(requeryFactor * d.Timing.QueryTimeout)
 }
 
-// endUnknown ends the flow of an attempt that nobody knows. While the fleet is
-// split the other side may know it, and it may go on there or after the heal:
-// then its packets are dropped, and its caller's timeout ends it.
+// endUnknown ends the flow of an attempt that no node and no server knows. If
+// the fleet is partitioned, the other side may know the flow, and it may
+// continue there or after the partition heals. Then the packet is only dropped,
+// and the flow ends by its caller's timeout.
 func (d *decision) endUnknown(a *attempt) {
 	if a.partitioned || d.partitioned() {
 		d.discard(a, UnknownFlow)
@@ -95,17 +98,19 @@
 	d.add(d.abortAction(&a.held, UnknownFlow))
 }
 
-// resolve ends an attempt: its flow is at server id. That may be the only
-// server that has not denied it, whose answer entered by a node that has
-// learned the flow and went on to the caller. If it doesn't know the flow
-// either, it answers the payload with a reset, and nothing has run.
+// resolve ends an attempt by pinning its flow to server id. That may be the
+// only probed server that has not denied the flow: its answer may have entered
+// by a node that has learned the flow and forwarded the answer to the caller. If
+// that server doesn't know the flow either, it answers payload with a reset,
+// and nothing is run.
 func (d *decision) resolve(a *attempt, id bronzeflow.ServerID) {
 	d.shard.remove(a)
 	d.resume(a)
 	d.adopt(bronzelink.Mapping{Server: id, State: bronzeflow.Established, Flags: bronzeflow.Confirmed})
 }
 
-// handleProbeReply takes in a server's packet while its flow is being looked for.
+// handleProbeReply handles a packet from a probed server. Refuse denies the
+// flow; anything else shows that the flow is at server id.
 func (d *decision) handleProbeReply(a *attempt, id bronzeflow.ServerID) {
 	if d.packet.Kind == bronzeflow.Refuse {
 		if !slices.Contains(a.denied, id) {
--- a/bronzecore/recover.go
+++ b/bronzecore/recover.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	// smallFleet is up to how many members all are asked about an unknown
-	// flow. In a larger one only the flow's former and next owners are.
+	// smallFleet is the largest fleet in which all members are queried about
+	// an unknown flow. In a larger one only the flow's former and next owners
+	// are queried.
 	smallFleet = 16
-	// formerQueries is how many former owners are asked at first.
+	// formerQueries is the number of former owners that are queried first.
 	formerQueries = 2
 )
 
-// recover starts to find the server of an established flow that this owner
-// doesn't know, because the flow's former owner is gone or new here.
+// recover starts to recover the server of an established flow that this node
+// doesn't know, because the flow's former owner is gone or this node is new.
 func (d *decision) recover() {
 	if id, ok := d.copies.get(d.hash); ok && d.inForce(id) {
 		d.adopt(bronzelink.Mapping{Server: id, State: bronzeflow.Established})
@@ -35,7 +36,7 @@
 	}
 }
 
-// recheck asks the other nodes about a flow whose entry dates from before a
+// recheck queries the other nodes about a flow whose entry dates from before a
 // pause of this process.
 func (d *decision) recheck(e bronzeflow.Entry) {
 	a := d.newAttempt()
@@ -50,7 +51,7 @@
 	}
 }
 
-// query asks the nodes that may know the flow.
+// query queries the nodes that may know the flow.
 func (d *decision) query(a *attempt) {
 	a.phase = querying
 	a.phaseDeadline = d.now.Add(d.Timing.QueryTimeout)
@@ -69,11 +70,12 @@
 	}
 }
 
-// queryTargets returns the nodes that may know the flow of an attempt. An opening
-// that is not established is known to the flow's former owner alone. So is
-// nearly every established flow after a planned change; if it isn't, those are
-// asked that may have learned it: in a large fleet the next in the flow's order
-// and the former owners, in a small one all.
+// queryTargets returns the nodes that may know the flow of an attempt. Only a
+// former owner can know a pending opening. After a planned change a former
+// owner knows nearly every established flow too, so former owners are queried
+// first. If they don't know the flow, the nodes that may have learned it are
+// queried: all of them in a small fleet, the former owners and the next nodes
+// in the flow's order in a large one.
 func (a *attempt) queryTargets(v *bronzefleet.View) []string {
 	former, n := v.Previous(a.hash)
 	if a.isOpen() || !a.widened && n > 0 {
@@ -89,7 +91,7 @@
 // transferredFlags are the flags of an entry that other nodes take over.
 const transferredFlags = bronzeflow.Confirmed | bronzeflow.CallerClosed | bronzeflow.ServerClosed | bronzeflow.Committed
 
-// adopt pins the flow to the server that somebody knows it to be at, and
+// adopt pins the flow to the server of a mapping that was recovered, and
 // forwards the packet.
 func (d *decision) adopt(m bronzelink.Mapping) {
 	if !d.match() || !d.inForce(m.Server) {
@@ -101,7 +103,8 @@
 	e.Echo = m.Echo
 	e.Flags |= m.Flags & transferredFlags
 	if d.owner(d.view.Load(), d.hash) != d.Name {
-		// Found in place of an owner that may be alive, which counts it.
+		// This node recovers the flow for a suspected owner. That owner may
+		// be alive, and it counts the flow.
 		d.putLearned(e)
 		d.forwardPinned(e, "")
 		return
@@ -115,7 +118,8 @@
 	d.forwardPinned(e, "")
 }
 
-// countAdopted counts a flow that another node had placed.
+// countAdopted counts a flow that another node placed and queues its copy if it
+// is an exception. A closed flow is not counted.
 func (d *decision) countAdopted(e bronzeflow.Entry) {
 	if e.State == bronzeflow.Closed {
 		return
@@ -126,7 +130,7 @@
 	}
 }
 
-// handleAnswer takes in what the node peer knows of an attempt's flow.
+// handleAnswer handles the answer of the node peer to a query.
 func (d *decision) handleAnswer(m *bronzelink.Mapping, peer string) {
 	d.lock()
 	defer d.shard.mu.Unlock()
@@ -145,7 +149,7 @@
 	d.notFound(a)
 }
 
-// found ends an attempt's queries: the flow is at a server.
+// found continues an attempt whose flow a queried node knows.
 func (d *decision) found(a *attempt, m bronzelink.Mapping) {
 	d.resume(a)
 	switch {
@@ -159,15 +163,17 @@
 		}
 		d.adopt(m)
 	case a.held.Kind == bronzeflow.Open:
-		// The former owner had sent the opening to a server. That goes on.
+		// A former owner has sent the opening to a server. This node continues
+		// with the same server.
 		d.place(a, d.service.ifAvailable(m.Server))
 	default:
-		// Data of a flow that was pending a moment ago: its server tells.
+		// Data of a flow that was just pending. Its server can tell whether
+		// the flow is established.
 		d.probe(a)
 	}
 }
 
-// notFound goes on when no node knows the flow of an attempt.
+// notFound continues an attempt whose flow no queried node knows.
 func (d *decision) notFound(a *attempt) {
 	d.resume(a)
 	switch {
