--- a/bronzecore/server.go
+++ b/bronzecore/server.go
@@ -6,9 +6,9 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// FromServer decides on a packet that came from the backend server whose
-// tunnel endpoint has one of the given identifiers (one address may serve
-// several services of a Customer).
+// FromServer decides on a packet from a backend server. ids are the servers at
+// the tunnel endpoint that the packet came from; one address may serve several
+// services of a Customer.
 func (b *Balancer) FromServer(p *bronzeflow.Packet, ids []bronzeflow.ServerID, out []Action) []Action {
 	b.init()
 	d := decision{Balancer: b, now: b.clock(), packet: *p, hash: p.Key.Hash(), out: out, set: b.services.Load()}
@@ -22,7 +22,7 @@
 	return d.out
 }
 
-// ReplyFromPeer decides on a packet of server id that another node relayed.
+// ReplyFromPeer decides on a packet from server id that another node relayed.
 func (b *Balancer) ReplyFromPeer(p *bronzeflow.Packet, id bronzeflow.ServerID, out []Action) []Action {
 	b.init()
 	d := decision{Balancer: b, now: b.clock(), packet: *p, hash: p.Key.Hash(), out: out, set: b.services.Load()}
@@ -34,7 +34,7 @@
 	return d.out
 }
 
-// fromServer decides on a packet of server id, which is in force.
+// fromServer decides on a packet from server id, which is in force.
 func (d *decision) fromServer(id bronzeflow.ServerID) {
 	if d.packet.Hops&bronzeflow.AlreadyForwarded != 0 {
 		d.markEnded(bronzeflow.ServerClosed, false)
@@ -53,8 +53,8 @@
 		d.drop(InvalidPacket)
 		return
 	}
-	// All that changes a flow's state, or doesn't fit what is known here, is
-	// the owner's to decide.
+	// The owner decides on packets that change a flow's state or don't match
+	// the entry of this node.
 	v := d.view.Load()
 	if owner := d.decidingNode(v, d.hash, d.packet.Kind); owner != d.Name {
 		d.unownedReply(id, e, known, owner)
@@ -67,8 +67,8 @@
 	d.ownReply(id)
 }
 
-// replyDirect passes a packet of a flow's own server on to the caller if that
-// doesn't take the owner, and reports whether it did.
+// replyDirect sends a packet from a flow's own server to the caller unless the
+// owner has to decide on it, and reports whether it did.
 func (d *decision) replyDirect(e bronzeflow.Entry) bool {
 	switch d.packet.Kind {
 	case bronzeflow.Data, bronzeflow.Datagram:
@@ -87,7 +87,8 @@
 // unownedReply decides on a server's packet of a flow that another node owns.
 func (d *decision) unownedReply(id bronzeflow.ServerID, e bronzeflow.Entry, known bool, owner string) {
 	if known {
-		// Two servers claim the flow, or the entry is old: the owner tells.
+		// Two servers claim the flow, or the entry is outdated. The owner
+		// decides which.
 		d.dropLearned(e)
 	}
 	if known || !d.provesPinning() {
@@ -98,14 +99,14 @@
 	d.reply(id)
 }
 
-// provesPinning reports whether a server's packet shows by itself that its flow is
-// pinned there. A server sends data only on a connection that the caller has
-// confirmed, and owners let one acceptance through. An opening that carried
-// its request may have been given up after the server got it, though, where
-// the service's requests are idempotent: then only the owner knows. Data
-// without payload may be the answer to an owner's probe. If it taught the node
-// that it happens to enter by, the owner would wait for it in vain and end the
-// flow.
+// provesPinning reports whether a server's packet by itself proves that its
+// flow is pinned to that server. A server sends data only on a connection that
+// the caller has confirmed, and owners pass on only one acceptance. But if the
+// service's requests are idempotent, an opening that carried its request may
+// have been given up after the server got it; then only the owner knows. Data
+// without payload may be the answer to an owner's probe: if the node that it
+// enters by learned the flow from it, the owner would not get the answer and
+// would end the flow.
 func (d *decision) provesPinning() bool {
 	p := &d.packet
 	if p.Payload == 0 || p.Kind != bronzeflow.Data && p.Kind != bronzeflow.Datagram {
@@ -136,9 +137,9 @@
 	case bronzeflow.Data, bronzeflow.Close, bronzeflow.Datagram:
 		d.adoptReply(id)
 	default:
-		// An acceptance that nobody waits for is not let through: the caller
-		// asks again, and its server answers again. A refusal says nothing
-		// about a flow that may be at another server.
+		// An acceptance without an attempt is not passed on: the caller
+		// retransmits its opening, and its server answers again. A refusal
+		// proves nothing about a flow that may be at another server.
 		d.drop(UnknownFlow)
 	}
 }
@@ -155,8 +156,8 @@
 	case a.wasTried(id):
 		d.dropLateAnswer(id)
 	case d.packet.Kind == bronzeflow.Data:
-		// While the fleet is split, the other side has opened this flow at
-		// another server, and the caller is using it.
+		// During a partition the other side has opened this flow at another
+		// server, and the caller is using it.
 		d.abandon(a)
 		d.adoptReply(id)
 	default:
@@ -196,10 +197,10 @@
 	d.reply(a.server())
 }
 
-// dropLateAnswer discards an answer of an attempt that was given up. Its server was told
-// so when it was given up; an acceptance shows that it has not heard, and it
-// is told again. While the fleet is split the connection may be the one that
-// the other side has given the caller, so it is left alone.
+// dropLateAnswer drops the answer to an opening that was given up. An acceptance
+// shows that the server missed the cancellation, so it is cancelled again.
+// While the fleet is partitioned, the caller may be using that connection
+// through the other side, so it is not cancelled.
 func (d *decision) dropLateAnswer(id bronzeflow.ServerID) {
 	d.drop(LateAnswer)
 	if d.packet.Kind != bronzeflow.Accept || d.partitioned() {
@@ -208,8 +209,8 @@
 	d.addPacketAction(Cancel, id, LateAnswer)
 }
 
-// pinnedReply decides on a packet of a flow's own server that changes the
-// flow's state.
+// pinnedReply decides on a packet from the server that the flow is pinned to and
+// updates the flow's state.
 func (d *decision) pinnedReply(e bronzeflow.Entry) {
 	d.reply(e.Server)
 	switch d.packet.Kind {
@@ -222,8 +223,8 @@
 	}
 }
 
-// updateEcho notes a further acceptance: a retransmission, or the answer to a
-// new opening under the same key.
+// updateEcho records the echo of a further acceptance: a retransmission, or the
+// answer to a new opening under the same key.
 func (d *decision) updateEcho() {
 	echo := d.packet.Echo
 	d.table.Update(&d.packet.Key, d.hash, func(e *bronzeflow.Entry) {
@@ -235,11 +236,11 @@
 	})
 }
 
-// adoptReply pins an unknown flow to the server that sends it data: a server
-// does so only on a connection that the caller has confirmed, and the owners
-// let no two servers' acceptances through.
+// adoptReply pins an unknown flow to the server that sends data for it. A server
+// sends data only on a connection that the caller has confirmed, and owners
+// never pass on the acceptances of two servers.
 func (d *decision) adoptReply(id bronzeflow.ServerID) {
-	d.match() // id is in force, so its service is
+	d.match() // can't fail: id is in force, so its service is too
 	derivable := d.service.derivable(&d.packet.Key, d.hash, id)
 	e := d.ownedEntry(id, bronzeflow.Established, derivable)
 	e.Flags |= bronzeflow.Confirmed
@@ -247,7 +248,8 @@
 		d.service.countAdopted(e)
 	}
 	if v := d.view.Load(); v != nil && v.Unsettled(d.hash, d.Timing.UnsettledPeriod) {
-		// The former owner still counts the flow; a query hands it over.
+		// The former owner still counts the flow. A query makes it hand the
+		// flow over.
 		d.query(&attempt{key: d.packet.Key, hash: d.hash})
 	}
 	d.reply(id)
--- a/bronzecore/service.go
+++ b/bronzecore/service.go
@@ -9,8 +9,8 @@
 	"bronzeusher.example/bronzeusher/bronzepool"
 )
 
-// service is a service in force with the state that outlives its record's
-// revisions.
+// service is a service in force with the state that is kept across revisions of
+// its record.
 type service struct {
 	conf    *bronzeconf.Service
 	pool    *bronzepool.Pool
@@ -18,17 +18,18 @@
 	account *bronzepool.Account
 }
 
-// serviceSet holds the services of one snapshot. It is immutable. Snapshot and
-// services are one value: looked up in two, a service of the former snapshot
-// would have no state while a new one is put in force, and the first packet
-// that opens a flow at that moment would crash the node.
+// serviceSet holds a snapshot and the state of its services. Apart from shared
+// it is immutable. Both are one value so that they are replaced together: with
+// two lookups, an opening that arrives while a new snapshot is put in force
+// could find a service of the former snapshot without state, which would crash
+// the node.
 type serviceSet struct {
 	snapshot *bronzeconf.Snapshot
 	byConf   map[*bronzeconf.Service]*service
 	byName   map[string]*service
-	// servers is how many backend servers there are in all pools.
+	// servers is the number of backend servers in all pools.
 	servers int
-	// shared is set when the nodes share the counts of their flows.
+	// shared is set if the nodes share the counts of their flows.
 	shared atomic.Bool
 }
 
@@ -38,7 +39,7 @@
 }
 
 // match returns the state of the service that claims a flow's destination, or
-// nil.
+// nil if there is none.
 func (s *serviceSet) match(key *bronzeflow.Key) *service {
 	return s.stateOf(s.snapshot.Match(key))
 }
@@ -47,7 +48,7 @@
 	return conf.Customer + "/" + conf.Name
 }
 
-// next returns the set for a new snapshot; services that stay keep their
+// next returns the set for a new snapshot. Services in both snapshots keep their
 // counts.
 func (s *serviceSet) next(snap *bronzeconf.Snapshot, limits *bronzepool.Admission, owners int, zone string) *serviceSet {
 	n := &serviceSet{
@@ -80,8 +81,9 @@
 	return n
 }
 
-// setOwners tells all pools how many nodes place flows. Nodes too many to
-// share their counts in time don't.
+// setOwners sets the number of nodes that place flows in all pools. If there are
+// too many pairs of node and server to share counts in time, they are not
+// shared.
 func (s *serviceSet) setOwners(n int) {
 	shared := n*s.servers <= bronzepool.MaxSharedPairs
 	s.shared.Store(shared)
@@ -91,19 +93,19 @@
 	}
 }
 
-// countEnded takes back what a flow in the table held.
+// countEnded removes a flow in the table from the counts.
 func (st *service) countEnded(e bronzeflow.Entry) {
 	st.pool.Ended(e.Server)
 	st.account.Ended(e.State != bronzeflow.Pending)
 }
 
-// countAdopted counts an established flow that another node had placed.
+// countAdopted counts an established flow that another node placed.
 func (st *service) countAdopted(e bronzeflow.Entry) {
 	st.pool.Opened(e.Server)
 	st.account.Adopt()
 }
 
-// denialReasons maps the reasons of limits.
+// denialReasons maps a denial of admission to its Reason.
 var denialReasons = map[bronzepool.Denial]Reason{
 	bronzepool.Admitted:           None,
 	bronzepool.HalfOpenDenied:     HalfOpenLimit,
@@ -113,7 +115,7 @@
 	bronzepool.NodeOpenDenied:     OpenLimit,
 }
 
-// admit counts a new flow, or tells why there must be none.
+// admit counts a new flow and returns None, or returns why it is not admitted.
 func (st *service) admit() Reason {
 	return denialReasons[st.account.Admit()]
 }
@@ -126,9 +128,9 @@
 	return 0
 }
 
-// derivable reports whether any node can compute that the flow is at server
-// id. A flow of datagrams can't be asked for at its server: if that is leaving,
-// a node that doesn't know the flow would take it for a new one.
+// derivable reports whether any node can compute that the flow is at server id.
+// A server can't be probed for a flow of datagrams, so if it is not available,
+// a node that doesn't know the flow would place it elsewhere as a new one.
 func (st *service) derivable(key *bronzeflow.Key, hash uint64, id bronzeflow.ServerID) bool {
 	var buf [1]bronzeflow.ServerID
 	c := st.pool.Candidates(hash, 1, buf[:0])
--- a/bronzecore/status.go
+++ b/bronzecore/status.go
@@ -8,16 +8,16 @@
 	"bronzeusher.example/bronzeusher/bronzepool"
 )
 
-// Status is what an operator sees of a Balancer.
+// Status is the state of a Balancer as shown to operators.
 type Status struct {
-	// Revision is that of the configuration in force.
+	// Revision is the revision of the configuration in force.
 	Revision uint64
-	// Flows counts the entries of the table, Attempts the flows that are
-	// being opened or looked for.
+	// Flows is the number of entries in the flow table, Attempts the number of
+	// flows that are being opened or recovered.
 	Flows    int
 	Attempts int
-	// Copies counts the exceptions held for other owners, CopiesDue the own
-	// ones that no successor holds yet.
+	// Copies is the number of exceptions held for other owners, CopiesDue the
+	// number of this node's copies that are queued or unacknowledged.
 	Copies    int
 	CopiesDue int
 	Leaving   bool
@@ -25,7 +25,7 @@
 	Refusals  []bronzeconf.Refusal
 }
 
-// ServiceStatus is one service in a Status.
+// ServiceStatus is the state of one service in a Status.
 type ServiceStatus struct {
 	Customer      string
 	Name          string
@@ -34,7 +34,7 @@
 	Servers       []bronzepool.ServerLoad
 }
 
-// Status returns the present state. It walks all services' pools.
+// Status returns the current state. It visits the pools of all services.
 func (b *Balancer) Status() Status {
 	b.init()
 	st := Status{
@@ -72,11 +72,11 @@
 	return st
 }
 
-// Remaining is what a leaving balancer has not handed over.
+// Remaining is what a leaving balancer has not handed over yet.
 type Remaining struct {
-	// Copies is how many exceptions no other node is known to hold.
+	// Copies is the number of exceptions that no other node is known to hold.
 	Copies int
-	// Attempts is how many flows were being opened or looked for.
+	// Attempts is the number of flows being opened or recovered.
 	Attempts int
 }
 
@@ -86,15 +86,15 @@
 	return Remaining{Copies: s.CopiesDue, Attempts: s.Attempts}
 }
 
-// SharesCounts reports whether the nodes share the counts of their flows: there are
-// at most bronzepool.MaxSharedPairs pairs of node and server.
+// SharesCounts reports whether the nodes share the counts of their flows. They
+// do if there are at most bronzepool.MaxSharedPairs pairs of node and server.
 func (b *Balancer) SharesCounts() bool {
 	b.init()
 	return b.services.Load().shared.Load()
 }
 
-// OwnedFlows returns the counts of the flows that this node owns on each server,
-// to be shared with the other nodes. It is empty unless they are Shared.
+// OwnedFlows returns the number of flows that this node owns on each server, to
+// be shared with the other nodes. It is empty unless SharesCounts is true.
 func (b *Balancer) OwnedFlows() map[bronzeflow.ServerID]uint32 {
 	b.init()
 	counts := make(map[bronzeflow.ServerID]uint32)
@@ -107,7 +107,8 @@
 	return counts
 }
 
-// SetOwnedFlows replaces what the node origin says that it owns; nil forgets it.
+// SetOwnedFlows replaces the counts of the flows that the node origin owns on
+// each server; nil removes them.
 func (b *Balancer) SetOwnedFlows(origin string, counts map[bronzeflow.ServerID]uint32) {
 	b.init()
 	for _, st := range b.services.Load().byName {
@@ -115,8 +116,8 @@
 	}
 }
 
-// Observe takes in a report of a server's own endpoint, polled by this node
-// or by another.
+// Observe applies a report from a server's own endpoint, polled by this node or
+// another.
 func (b *Balancer) Observe(r bronzepool.Report) {
 	b.init()
 	if st := b.serviceOf(r.Server); st != nil {
@@ -124,7 +125,8 @@
 	}
 }
 
-// SetLeaving stops new work for a server, from whatever source, for hold.
+// SetLeaving stops new work for a server for the time hold, whatever the source
+// of the news that it is leaving.
 func (b *Balancer) SetLeaving(id bronzeflow.ServerID, hold time.Duration) {
 	b.init()
 	if st := b.serviceOf(id); st != nil {
--- a/bronzecore/sweep.go
+++ b/bronzecore/sweep.go
@@ -9,22 +9,22 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// The pace of the sweep through the table, in shards a tick: a slow round for
-// expiry, a fast one after a change of the configuration or of the fleet.
+// The speed of the sweep through the flow table: slow rounds for expiry, and a
+// fast round after a change of the configuration or the fleet.
 const (
-	slowSweepTicks  = 4 // a shard every so many ticks
-	fastSweepShards = 3
+	slowSweepTicks  = 4 // ticks per shard
+	fastSweepShards = 3 // shards per tick
 )
 
-// sweeper walks through the flow table, a few shards a tick.
+// sweeper is the progress of the sweep through the flow table.
 type sweeper struct {
 	mu    sync.Mutex
 	next  int
 	ticks int
-	// fastShardsLeft is how many shards the fast round still has to see.
+	// fastShardsLeft is the number of shards left in the fast round.
 	fastShardsLeft int
-	// roundView is the one under which the last fast round was completed; during
-	// the round it is still the old one.
+	// roundView is the view in force when the last fast round was completed.
+	// It is not changed during a round.
 	roundView *bronzefleet.View
 }
 
@@ -35,7 +35,7 @@
 	w.fastShardsLeft = bronzeflow.Shards
 }
 
-// sweepDueShards sweeps the shards that are due.
+// sweepDueShards sweeps the shards that are due at this tick.
 func (b *Balancer) sweepDueShards(now time.Time) {
 	w := &b.sweep
 	w.mu.Lock()
@@ -60,15 +60,15 @@
 	}
 }
 
-// flagChange is a change of an entry's flags that a sweep found due.
+// flagChange is a change to the flags of an entry that a sweep found necessary.
 type flagChange struct {
 	key        bronzeflow.Key
 	entry      bronzeflow.Entry
 	set, clear bronzeflow.Flags
 }
 
-// sweepShard expires entries and, in a fast round, finds the exceptions that
-// a change of the pool or of the fleet has made.
+// sweepShard expires entries and, in a fast round, updates the exceptions after
+// a change of the pool or the fleet.
 func (b *Balancer) sweepShard(i int, fast bool, now time.Time) {
 	var expired []flagChange
 	var changes []flagChange
@@ -92,7 +92,7 @@
 	}
 }
 
-// expired reports whether an entry has outlived its use.
+// expired reports whether an entry may be deleted.
 func (b *Balancer) expired(k *bronzeflow.Key, e bronzeflow.Entry, now time.Time) bool {
 	idle := b.seconds(now) - e.Used
 	switch {
@@ -101,14 +101,14 @@
 	case e.Flags&bronzeflow.Owned == 0:
 		return !b.trusted(e, now)
 	case e.State == bronzeflow.Pending:
-		return false // its attempt ends it
+		return false // its attempt removes it
 	}
 	svc := b.services.Load().snapshot.Match(k)
 	if svc == nil {
 		return idle > toSeconds(b.Timing.ClosedRetention)
 	}
-	// Packets that go straight through other nodes are seen here once in
-	// Timing.Refresh.
+	// Packets that other nodes forward without the owner are seen here only
+	// once in Timing.LearnedMaxAge.
 	return idle > toSeconds(idleTimeout(svc.IdleTimeout)+b.Timing.LearnedMaxAge)
 }
 
@@ -119,7 +119,8 @@
 	return bronzeconf.DefaultIdleTimeout
 }
 
-// dueFlagChange tells how the flags of an owned flow have to change.
+// dueFlagChange returns the change to the flags of an owned flow, if one is
+// necessary.
 func (b *Balancer) dueFlagChange(k *bronzeflow.Key, e bronzeflow.Entry) (c flagChange, ok bool) {
 	st := b.services.Load().match(k)
 	if st == nil {
@@ -141,8 +142,8 @@
 	return c, true
 }
 
-// successorChanged reports whether the copy of a flow is held by a node that
-// is no longer its successor. The sweep's lock is held.
+// successorChanged reports whether the copy of a flow is held by a node that is
+// no longer its successor. The sweeper's lock must be held.
 func (b *Balancer) successorChanged(hash uint64) bool {
 	v := b.view.Load()
 	if v == nil || v == b.sweep.roundView {
@@ -170,8 +171,8 @@
 	}
 }
 
-// pruneCopies drops the copies of flows that this node is no longer in line
-// for: their owner has copied them elsewhere.
+// pruneCopies drops the copies of flows whose order no longer includes this
+// node; their owner copies them to another node.
 func (b *Balancer) pruneCopies() {
 	v := b.view.Load()
 	if v == nil {
--- a/bronzecore/tick.go
+++ b/bronzecore/tick.go
@@ -1,7 +1,7 @@
 package bronzecore
 
-// Tick does what is due: deadlines, retries, copies, expiry. The driver
-// calls it every TickInterval.
+// Tick handles timeouts, copies and the expiry of entries. The driver calls it
+// every TickInterval.
 func (b *Balancer) Tick(out []Action) []Action {
 	b.init()
 	d := decision{Balancer: b, now: b.clock(), out: out, set: b.services.Load()}
@@ -28,7 +28,7 @@
 	}
 }
 
-// phaseTimedOut goes on with an attempt whose phase has lasted too long.
+// phaseTimedOut continues an attempt whose phase has timed out.
 func (d *decision) phaseTimedOut(a *attempt) {
 	switch {
 	case a.phase == querying:
@@ -42,15 +42,16 @@
 	}
 }
 
-// openingTimedOut goes on with an attempt whose server doesn't answer. It is told that
-// the attempt is given up, before the caller or another server hears of it.
+// openingTimedOut continues an attempt whose server did not answer the opening.
+// The opening is cancelled at that server before the caller is answered or
+// another server is tried.
 func (d *decision) openingTimedOut(a *attempt) {
 	if !d.inForce(a.server()) {
 		d.withdraw(a)
 		d.add(d.finalAction(a, ServerGone))
 		return
 	}
-	d.match() // its server is in force, so the service is
+	d.match() // can't fail: the server is in force, so its service is too
 	d.cancel(a, ServerSilent)
 	d.service.pool.Refused(a.server(), true)
 	d.retry(a, ServerSilent)
