--- a/bronzecore/bench_test.go
+++ b/bronzecore/bench_test.go
@@ -13,7 +13,8 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// benchSnapshot has the given numbers of services and servers in all.
+// benchSnapshot returns a snapshot with the given total numbers of services and
+// servers.
 func benchSnapshot(services, servers int) *bronzeconf.Snapshot {
 	var records []bronzeconf.Record
 	for i := range services {
@@ -80,8 +81,8 @@
 	}
 }
 
-// BenchmarkDecision is the decision of one packet of an established flow, by
-// how many flows are held and how large the configuration is.
+// BenchmarkDecision measures the decision on one packet of an established flow,
+// by the number of flows in the table and the size of the configuration.
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range []int{1000, 10_000, 100_000, 500_000} {
 		b.Run(fmt.Sprintf("flows=%d", n), func(b *testing.B) { benchPackets(b, n, 4, 18) })
@@ -89,7 +90,7 @@
 	b.Run("services=320/servers=5100", func(b *testing.B) { benchPackets(b, 10_000, 320, 5100) })
 }
 
-// BenchmarkDecisionParallel is BenchmarkDecision on all cores.
+// BenchmarkDecisionParallel measures the same decision on all cores.
 func BenchmarkDecisionParallel(b *testing.B) {
 	bal, keys := benchFlows(100_000, 4, 18)
 	var start atomic.Int64
@@ -108,7 +109,8 @@
 	})
 }
 
-// BenchmarkOpening is one flow from its opening to its close, by pool size.
+// BenchmarkOpening measures one flow from its opening to its reset, by the size
+// of the pool.
 func BenchmarkOpening(b *testing.B) {
 	for _, servers := range []int{4, 14, 64, 256} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
@@ -129,7 +131,7 @@
 	}
 }
 
-// BenchmarkMemory reports the heap that one open flow costs its owner.
+// BenchmarkMemory measures the heap that one open flow takes at its owner.
 func BenchmarkMemory(b *testing.B) {
 	for _, n := range []int{10_000, 50_000, 100_000, 500_000} {
 		b.Run(fmt.Sprintf("flows=%d", n), func(b *testing.B) {
--- a/bronzecore/change_test.go
+++ b/bronzecore/change_test.go
@@ -12,7 +12,7 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// changes are the kinds of changes that flows are counted over.
+// changes are the changes for which broken flows are counted.
 var changes = []struct {
 	name string
 	do   func(w *world)
@@ -37,29 +37,29 @@
 	}},
 	{"kill", func(w *world) {
 		w.kill(w.names()[0])
-		w.settle(time.Second)
+		w.run(time.Second)
 		w.setViews(w.names())
 	}},
 	{"kill during drain", func(w *world) {
 		w.drain(0)
 		w.kill(w.names()[0])
-		w.settle(time.Second)
+		w.run(time.Second)
 		w.setViews(w.names())
 	}},
-	{"split", func(w *world) {
+	{"partition", func(w *world) {
 		names := w.names()
 		left, right := names[:len(names)/2], names[len(names)/2:]
 		w.cut = func(from, to string) bool {
 			return w.nodes[from] != nil && w.nodes[to] != nil && slices.Contains(left, from) != slices.Contains(left, to)
 		}
-		split := func(v *bronzefleet.View) { v.Partitioned = true }
-		w.setViews(left, split)
-		w.setViews(right, split)
+		partitioned := func(v *bronzefleet.View) { v.Partitioned = true }
+		w.setViews(left, partitioned)
+		w.setViews(right, partitioned)
 	}},
 }
 
-// hashAlone returns the server that a balancer without memory computes.
-func (w *world) hashAlone(f *flow) (best bronzeflow.ServerID) {
+// firstCandidate returns the server that a stateless balancer computes by hash.
+func (w *world) firstCandidate(f *flow) (best bronzeflow.ServerID) {
 	hash := f.key.Hash()
 	var top uint64
 	for _, s := range w.record.Pool {
@@ -71,28 +71,28 @@
 	return best
 }
 
-// countBroken runs a change over open flows and counts those that ended, and
-// those that a balancer without memory would have sent to another server.
-func countBroken(t *testing.T, nodes int, bare bool, change func(w *world)) (broken, hashAlone int) {
+// countBroken makes a change while flows are open. It counts the flows that
+// ended, and those that a stateless balancer would have moved to another server.
+func countBroken(t *testing.T, nodes int, ownerTableOnly bool, change func(w *world)) (broken, hashAlone int) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 1, nodes, 6)
-		w.bare = bare
-		w.record.Retry["Idempotent"] = bare // nothing is learned from answers
+		w.ownerTableOnly = ownerTableOnly
+		w.record.Retry["Idempotent"] = ownerTableOnly // disables learning from answers
 		w.publish()
 		w.openMany(60)
-		w.settle(300 * time.Millisecond)
+		w.run(300 * time.Millisecond)
 		before := make([]bronzeflow.ServerID, len(w.flows))
 		for i, f := range w.flows {
-			before[i] = w.hashAlone(f)
+			before[i] = w.firstCandidate(f)
 		}
 		change(w)
-		w.settle(5 * time.Second)
-		w.checkSafe()
+		w.run(5 * time.Second)
+		w.requireInvariants()
 		for i, f := range w.flows {
 			if f.refused || f.aborted {
 				broken++
 			}
-			if w.hashAlone(f) != before[i] {
+			if w.firstCandidate(f) != before[i] {
 				hashAlone++
 			}
 		}
@@ -100,10 +100,10 @@
 	return broken, hashAlone
 }
 
-// Flows are open when the fleet or the pool changes. Callers of this design
-// see none of it, whatever the size. An owner's table alone (no messages, no
-// probes, nothing learned) and hashing without a table show what would be
-// lost: run with -v for the numbers.
+// The fleet or the pool changes while flows are open. No flow may break,
+// whatever the size of the fleet. For comparison, run with -v to log how many
+// flows would break with an owner's table alone (no messages, no probes, nothing
+// learned) and with hashing without a table.
 func TestBrokenFlowsByChange(t *testing.T) {
 	for _, c := range changes {
 		t.Run(c.name, func(t *testing.T) {
--- a/bronzecore/copy.go
+++ b/bronzecore/copy.go
@@ -126,13 +126,13 @@
 }
 
 // add queues an exception to be copied.
-func (c *copier) add(key bronzeflow.Key, hash uint64, from uint32) {
+func (c *copier) add(key bronzeflow.Key, hash uint64, openedAt uint32) {
 	if c.rate < 0 {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.queue = append(c.queue, pendingCopy{key: key, hash: hash, openedAt: from})
+	c.queue = append(c.queue, pendingCopy{key: key, hash: hash, openedAt: openedAt})
 }
 
 // queueRemoval queues the removal of an exception's copy. It is acknowledged
--- a/bronzecore/copy_test.go
+++ b/bronzecore/copy_test.go
@@ -15,21 +15,21 @@
 	"bronzeusher.example/bronzeusher/bronzelink"
 )
 
-// datagramBytes is what a message travels in: the headers of IPv4 and UDP, and
-// that of a frame between balancers.
+// datagramBytes is the overhead of a message: the headers of IPv4, UDP and a
+// frame between balancers.
 const datagramBytes = 20 + 8 + 12
 
-// copying is an owner with exceptions to copy, in a fleet whose other nodes
-// acknowledge at once.
-type copying struct {
+// copyOwner is an owner with exceptions to copy, in a fleet whose other nodes
+// acknowledge immediately.
+type copyOwner struct {
 	Balancer
-	t      *testing.T
-	copied int
-	sent   []int // bytes by second
+	t         *testing.T
+	copied    int
+	sentBytes []int // for each second
 }
 
-func newCopying(t *testing.T, nodes int) *copying {
-	c := &copying{Balancer: Balancer{Name: "vm-0"}, t: t}
+func newCopyOwner(t *testing.T, nodes int) *copyOwner {
+	c := &copyOwner{Balancer: Balancer{Name: "vm-0"}, t: t}
 	var members []bronzelink.Member
 	for i := range nodes {
 		members = append(members, bronzelink.Member{Name: fmt.Sprintf("vm-%d", i), Status: bronzelink.Alive})
@@ -39,8 +39,8 @@
 	return c
 }
 
-// except makes flow i an exception of this owner.
-func (c *copying) except(i int) {
+// addException makes flow i an exception of this owner.
+func (c *copyOwner) addException(i int) {
 	from := netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 0, byte(i >> 8), byte(i)}), 4000)
 	key := bronzeflow.NewKey(bronzeflow.TCP, from, netip.MustParseAddrPort("192.0.2.1:443"))
 	e := bronzeflow.Entry{
@@ -54,26 +54,26 @@
 	c.copier.add(key, key.Hash(), e.Opened)
 }
 
-// run lets the owner work for that many seconds, with before each tick.
-func (c *copying) run(seconds int, before func()) {
+// run runs the owner for that many seconds and calls before ahead of each tick.
+func (c *copyOwner) run(seconds int, before func()) {
 	for range seconds {
-		c.sent = append(c.sent, 0)
+		c.sentBytes = append(c.sentBytes, 0)
 		for range time.Second / TickInterval {
 			before()
 			for _, a := range c.Tick(nil) {
-				c.take(a.Message, a.Peer)
+				c.acknowledge(a.Message, a.Peer)
 			}
 			time.Sleep(TickInterval)
 		}
 	}
 }
 
-// take counts a message and answers it.
-func (c *copying) take(m *bronzelink.FlowMessage, peer string) {
+// acknowledge counts a message and acknowledges its copies.
+func (c *copyOwner) acknowledge(m *bronzelink.FlowMessage, peer string) {
 	require.NotEmpty(c.t, m.Copies)
 	b, err := bronzelink.EncodeFlow(m)
 	require.NoError(c.t, err)
-	c.sent[len(c.sent)-1] += len(b) + datagramBytes
+	c.sentBytes[len(c.sentBytes)-1] += len(b) + datagramBytes
 	c.copied += len(m.Copies)
 	acks := &bronzelink.FlowMessage{}
 	for _, i := range m.Copies {
@@ -82,20 +82,20 @@
 	c.HandleMessage(acks, peer, nil)
 }
 
-// More exceptions wait than the pace allows, with all of them for one node,
-// for a few or each for another. What is sent keeps to the pace all the same,
-// but for a second's worth at the start, and uses most of it.
-func TestCopiesKeepTheirPace(t *testing.T) {
+// More exceptions are queued than the rate limit allows: all for one node, or
+// spread over a few or many nodes. Apart from a second's worth at the start, the
+// bytes sent stay within the limit, and they use at least half of it.
+func TestCopyRate(t *testing.T) {
 	const seconds = 10
 	for _, nodes := range []int{2, 7, 490} {
 		synctest.Test(t, func(t *testing.T) {
-			c := newCopying(t, nodes)
+			c := newCopyOwner(t, nodes)
 			for i := range 2000 {
-				c.except(i)
+				c.addException(i)
 			}
 			c.run(seconds, func() {})
 			all := 0
-			for _, n := range c.sent {
+			for _, n := range c.sentBytes {
 				all += n
 				require.LessOrEqual(t, n, 2*DefaultCopyBytesPerSecond)
 			}
@@ -105,16 +105,16 @@
 	}
 }
 
-// Exceptions come one by one, slower than the pace. Each is copied within a
-// second of the age from which it is worth that, though a copy has to wait for
-// savings that the one before took.
-func TestLoneCopiesAreNotHeldUp(t *testing.T) {
+// Exceptions are opened one by one, more slowly than the rate limit. Each is
+// copied within a second of reaching MinCopyAge, though a copy has to wait for
+// the tokens that the previous one used.
+func TestSingleCopiesNotDelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCopying(t, 490)
+		c := newCopyOwner(t, 490)
 		ticks, opened := 0, 0
 		c.run(10, func() {
 			if ticks%10 == 0 {
-				c.except(opened)
+				c.addException(opened)
 				opened++
 			}
 			ticks++
@@ -123,7 +123,7 @@
 		c.run(4, func() {})
 		require.Equal(t, before, c.copied)
 		require.Zero(t, c.copier.pending())
-		for _, n := range c.sent {
+		for _, n := range c.sentBytes {
 			require.LessOrEqual(t, n, DefaultCopyBytesPerSecond)
 		}
 	})
--- a/bronzecore/example_test.go
+++ b/bronzecore/example_test.go
@@ -9,8 +9,8 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// A driver of its own: it hands over packets as plain structs, without any
-// transport header, and prints what it would have to do.
+// A minimal driver: it passes packets as plain structs, without transport
+// headers, and prints the actions that it would have to carry out.
 func Example() {
 	record := []byte(`{"SchemaVersion": 1, "Customer": "Registry", "Brand": "Maps", "Name": "live",
 		"Addresses": ["192.0.2.1"], "Rules": [{"Protocol": "TCP", "Port": 443}],
--- a/bronzecore/harness_test.go
+++ b/bronzecore/harness_test.go
@@ -27,15 +27,15 @@
 
 var serviceAddr = netip.MustParseAddrPort("192.0.2.1:443")
 
-// The property's random sequences are the same on every run.
+// init fixes the seed of rapid, so that every run checks the same sequences.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
 	}
 }
 
-// world is a handful of balancers, servers and callers in one synctest
-// bubble. Everything sent waits in a queue and is delivered in random order.
+// world simulates balancers, servers and callers in one synctest bubble.
+// Everything sent is queued and delivered in random order.
 type world struct {
 	t       *testing.T
 	rng     *rand.Rand
@@ -45,14 +45,15 @@
 	queue   []func()
 	record  record
 	rev     uint64
-	// datagram is the server that got the last datagram.
+	// datagram is the server that received the last datagram.
 	datagram bronzeflow.ServerID
-	// bare takes messages and probes away, for comparison.
-	bare bool
-	// cut says whether what from sends to to is lost. Names are those of
-	// nodes and instances, and "caller".
+	// ownerTableOnly discards messages between nodes and probes, for
+	// comparison.
+	ownerTableOnly bool
+	// cut reports whether what from sends to to is lost. The names are those
+	// of nodes and instances, and "caller".
 	cut func(from, to string) bool
-	// runs counts how often each request was run.
+	// runs is how often each request was run.
 	runs map[uint64]int
 }
 
@@ -60,12 +61,13 @@
 	*bronzecore.Balancer
 	view  *bronzefleet.View
 	alive bool
-	// asleep nodes get their packets when they wake.
-	asleep bool
+	// paused nodes handle no packets and no ticks.
+	paused bool
 }
 
-// server is a backend server that believes all it is sent: it knows no TCP
-// sequence numbers that would save it from another server's packets.
+// server is a backend server that accepts all packets of a connection. It has no
+// TCP sequence numbers that would make it reject packets meant for another
+// server.
 type server struct {
 	name    string
 	refuses bool
@@ -80,21 +82,21 @@
 }
 
 type flow struct {
-	key       bronzeflow.Key
-	accepted  bool
-	echo      uint32
-	request   uint64
-	answered  int
-	sentAt    time.Time
-	refused   bool
-	aborted   bool
-	payloadAt map[bronzeflow.ServerID]bool
-	via       []string // nodes that its packets may enter by, nil is all
-	back      []string // nodes that its answers may enter by, nil is via
-	pause     bool     // sends nothing once it is accepted
-}
-
-// record is a service's record, version 2.
+	key        bronzeflow.Key
+	accepted   bool
+	echo       uint32
+	request    uint64
+	answered   int
+	sentAt     time.Time
+	refused    bool
+	aborted    bool
+	payloadAt  map[bronzeflow.ServerID]bool
+	entryNodes []string // nodes that its packets may enter by, nil is all
+	replyNodes []string // nodes that its answers may enter by, nil is entryNodes
+	idle       bool     // sends nothing once it is accepted
+}
+
+// record is a service's record with schema version 2.
 type record struct {
 	SchemaVersion int
 	Customer      string
@@ -152,7 +154,8 @@
 	return id
 }
 
-// publish puts the record in force on all nodes at once.
+// publish puts the record in force on the nodes in only, or on all nodes if there
+// are none.
 func (w *world) publish(only ...string) {
 	w.rev++
 	body, err := json.Marshal(w.record)
@@ -181,7 +184,7 @@
 	return names
 }
 
-// setViews makes the named nodes see each other and nobody else.
+// setViews gives the named nodes views whose members are exactly these nodes.
 func (w *world) setViews(names []string, change ...func(v *bronzefleet.View)) {
 	for _, name := range names {
 		n := w.nodes[name]
@@ -215,15 +218,15 @@
 // openIdle opens a flow whose caller sends nothing once it is open.
 func (w *world) openIdle() *flow {
 	f := w.open()
-	f.pause = true
-	w.settle(500 * time.Millisecond)
+	f.idle = true
+	w.run(500 * time.Millisecond)
 	require.True(w.t, f.accepted)
 	return f
 }
 
-// loseThePathOf makes the path from a flow's owner to the servers silent, and returns the
-// owner.
-func (w *world) loseThePathOf(f *flow) (owner string) {
+// cutOwnerFromServers loses all packets from a flow's owner to the servers and
+// returns the owner.
+func (w *world) cutOwnerFromServers(f *flow) (owner string) {
 	owner = w.ownerOf(f)
 	w.cut = func(from, to string) bool { return from == owner && w.nodes[to] == nil }
 	return owner
@@ -237,16 +240,16 @@
 	clear(f.payloadAt)
 }
 
-// settle runs the world for d of the bubble's clock.
-func (w *world) settle(d time.Duration) {
+// run advances the simulation by d of the bubble's clock.
+func (w *world) run(d time.Duration) {
 	for range d / bronzecore.TickInterval {
 		for _, f := range w.flows {
 			w.step(f)
 		}
 		w.deliver()
 		for _, name := range w.names() {
-			if n := w.nodes[name]; !n.asleep {
-				w.do(name, n.Tick(nil))
+			if n := w.nodes[name]; !n.paused {
+				w.apply(name, n.Tick(nil))
 			}
 		}
 		w.deliver()
@@ -257,14 +260,14 @@
 // copyTime is enough for a few exceptions to be copied.
 const copyTime = 6 * time.Second
 
-// sendDatagrams sends a datagram of each flow and requires that it reaches
-// the server in servers, which it notes at the first time.
+// sendDatagrams sends a datagram of each flow and requires that it reaches the
+// flow's server in servers. A server of 0 is set to the one that was reached.
 func (w *world) sendDatagrams(servers map[bronzeflow.Key]bronzeflow.ServerID) {
 	for key, want := range servers {
 		p := bronzeflow.Packet{Key: key, Kind: bronzeflow.Datagram, Payload: 8}
 		w.datagram = 0
-		w.send("caller", w.spray(nil), func(n *node) []bronzecore.Action { return n.FromCaller(&p, nil) })
-		w.settle(200 * time.Millisecond)
+		w.send("caller", w.pickNode(nil), func(n *node) []bronzecore.Action { return n.FromCaller(&p, nil) })
+		w.run(200 * time.Millisecond)
 		require.NotZero(w.t, w.datagram)
 		if want != 0 {
 			require.Equal(w.t, want, w.datagram)
@@ -282,7 +285,7 @@
 	}
 }
 
-// step lets a caller send what is due.
+// step sends the packet of a caller that is due, if any.
 func (w *world) step(f *flow) {
 	if f.refused || f.aborted || time.Since(f.sentAt) < retransmit {
 		return
@@ -292,7 +295,7 @@
 		w.fromCaller(f, bronzeflow.Packet{Key: f.key, Kind: bronzeflow.Open})
 		return
 	}
-	if f.pause {
+	if f.idle {
 		return
 	}
 	if f.request == 0 {
@@ -304,8 +307,8 @@
 	})
 }
 
-// spray picks the node that the fabric hands a flow's packet to.
-func (w *world) spray(names []string) string {
+// pickNode picks the node that the fabric delivers a packet to.
+func (w *world) pickNode(names []string) string {
 	if names == nil {
 		names = w.names()
 	}
@@ -313,24 +316,25 @@
 }
 
 func (w *world) fromCaller(f *flow, p bronzeflow.Packet) {
-	w.send("caller", w.spray(f.via), func(n *node) []bronzecore.Action { return n.FromCaller(&p, nil) })
+	w.send("caller", w.pickNode(f.entryNodes), func(n *node) []bronzecore.Action { return n.FromCaller(&p, nil) })
 }
 
-// send delivers to a node, if it can be reached.
+// send queues a call of f for the node to. It is lost if the node can't be
+// reached when it is delivered.
 func (w *world) send(from, to string, f func(n *node) []bronzecore.Action) {
 	w.queue = append(w.queue, func() {
 		n := w.nodes[to]
-		if n == nil || !n.alive || n.asleep || w.cut(from, to) {
+		if n == nil || !n.alive || n.paused || w.cut(from, to) {
 			return
 		}
-		w.do(to, f(n))
+		w.apply(to, f(n))
 	})
 }
 
-// do carries actions out.
-func (w *world) do(name string, out []bronzecore.Action) {
+// apply carries out the actions of a node.
+func (w *world) apply(name string, out []bronzecore.Action) {
 	for _, a := range out {
-		if w.bare && (a.Kind == bronzecore.Send || a.Kind == bronzecore.Probe) {
+		if w.ownerTableOnly && (a.Kind == bronzecore.Send || a.Kind == bronzecore.Probe) {
 			continue
 		}
 		p := a.Packet
@@ -342,9 +346,9 @@
 		case bronzecore.Send:
 			w.send(name, a.Peer, func(n *node) []bronzecore.Action { return n.HandleMessage(a.Message, name, nil) })
 		case bronzecore.Forward, bronzecore.Probe, bronzecore.Cancel:
-			w.queue = append(w.queue, func() { w.atServer(name, a) })
+			w.queue = append(w.queue, func() { w.serverReceives(name, a) })
 		case bronzecore.Reply, bronzecore.Refuse, bronzecore.Abort:
-			w.queue = append(w.queue, func() { w.atCaller(a) })
+			w.queue = append(w.queue, func() { w.callerReceives(a) })
 		}
 	}
 }
@@ -353,8 +357,9 @@
 	return w.flows[int(key.CallerPort)-1024]
 }
 
-// atServer is a backend server's part.
-func (w *world) atServer(from string, a bronzecore.Action) {
+// serverReceives handles a packet, probe or cancellation that the node from
+// sends to a backend server.
+func (w *world) serverReceives(from string, a bronzecore.Action) {
 	s := w.servers[a.Server]
 	if s.silent || w.cut(from, s.name) {
 		return
@@ -397,20 +402,20 @@
 
 func (w *world) fromServer(s *server, id bronzeflow.ServerID, p bronzeflow.Packet) {
 	ids := []bronzeflow.ServerID{id}
-	names := w.flowOf(p.Key).back
+	names := w.flowOf(p.Key).replyNodes
 	if names == nil {
-		names = w.flowOf(p.Key).via
+		names = w.flowOf(p.Key).entryNodes
 	}
-	w.send(s.name, w.spray(names), func(n *node) []bronzecore.Action { return n.FromServer(&p, ids, nil) })
+	w.send(s.name, w.pickNode(names), func(n *node) []bronzecore.Action { return n.FromServer(&p, ids, nil) })
 }
 
-// atCaller is a caller's part.
-func (w *world) atCaller(a bronzecore.Action) {
+// callerReceives handles a reply, refusal or abort that a node sends to a caller.
+func (w *world) callerReceives(a bronzecore.Action) {
 	f := w.flowOf(a.Packet.Key)
 	switch {
 	case a.Kind == bronzecore.Refuse:
 		f.refused = true
-		require.Empty(w.t, f.payloadAt, "told that nothing ran, but payload was forwarded")
+		require.Empty(w.t, f.payloadAt, "caller was refused although payload was forwarded")
 		require.Positive(w.t, a.RetryAfter)
 	case a.Kind == bronzecore.Abort, a.Packet.Kind == bronzeflow.Refuse:
 		f.aborted = true
@@ -424,8 +429,9 @@
 	}
 }
 
-// checkSafe requires what must hold whatever happened.
-func (w *world) checkSafe() {
+// requireInvariants requires that no request ran twice and that no flow's
+// payload reached two servers.
+func (w *world) requireInvariants() {
 	for id, n := range w.runs {
 		require.Equal(w.t, 1, n, "request %d ran %d times", id, n)
 	}
@@ -434,16 +440,16 @@
 	}
 }
 
-// checkGoingOn requires that no established flow has ended, and that each has
-// been answered since the mark.
-func (w *world) checkGoingOn(mark []int) {
+// requireProgress requires that no flow has ended and that each was answered
+// more often than in before, a result of answeredCounts.
+func (w *world) requireProgress(before []int) {
 	for i, f := range w.flows {
 		require.False(w.t, f.refused || f.aborted, "flow %d ended", i)
-		require.Greater(w.t, f.answered, mark[i], "flow %d stands still", i)
+		require.Greater(w.t, f.answered, before[i], "flow %d makes no progress", i)
 	}
 }
 
-func (w *world) mark() []int {
+func (w *world) answeredCounts() []int {
 	n := make([]int, len(w.flows))
 	for i, f := range w.flows {
 		n[i] = f.answered
@@ -451,14 +457,14 @@
 	return n
 }
 
-// kill ends a node without a word.
+// kill stops nodes without telling their peers.
 func (w *world) kill(names ...string) {
 	for _, name := range names {
 		w.nodes[name].alive = false
 	}
 }
 
-// ownerOf returns the owner of a flow in the eyes of the first live node.
+// ownerOf returns the owner of a flow in the view of the first live node.
 func (w *world) ownerOf(f *flow) string {
 	return w.nodes[w.names()[0]].view.Owner(f.key.Hash())
 }
--- a/bronzecore/isolation_test.go
+++ b/bronzecore/isolation_test.go
@@ -15,12 +15,12 @@
 	"bronzeusher.example/bronzeusher/bronzelink"
 )
 
-var brands = []string{"Registry", "Braille", "Archive"}
+var customers = []string{"Registry", "Braille", "Archive"}
 
-// brandRecords gives each address in claims to the Customer of that number.
-// Each Customer has one server.
-func brandRecords(claims []int) (records []bronzeconf.Record) {
-	for i, customer := range brands {
+// customerRecords returns records that give the address a to the Customer with
+// the index claims[a]. Each Customer has one server.
+func customerRecords(claims []int) (records []bronzeconf.Record) {
+	for i, customer := range customers {
 		addresses := ""
 		for a, claim := range claims {
 			if claim != i {
@@ -29,7 +29,7 @@
 			if addresses != "" {
 				addresses += ", "
 			}
-			addresses += fmt.Sprintf("%q", brandAddress(a).Addr())
+			addresses += fmt.Sprintf("%q", customerAddress(a).Addr())
 		}
 		if addresses == "" {
 			continue
@@ -43,26 +43,25 @@
 	return records
 }
 
-func brandAddress(a int) netip.AddrPort {
+func customerAddress(a int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{192, 0, 2, byte(a + 1)}), 443)
 }
 
-// Addresses move between Customers while callers open flows and go on with
-// them, servers answer whatever they like for any flow, and a peer tells
-// mappings of its own. In any order: a caller's packet goes only to a server
-// of the Customer that has its destination then, and only such a server's
-// packets reach the caller.
-func TestNoPacketCrossesBrands(t *testing.T) {
+// Addresses move between Customers while callers use flows, servers send any
+// packets for any flow, and a peer sends arbitrary mappings, in any order. A
+// caller's packet may go only to a server of the Customer that currently has its
+// destination, and only packets of such a server may reach the caller.
+func TestNoPacketCrossesCustomers(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		steps := rapid.SliceOfN(rapid.SliceOfN(rapid.IntRange(0, 5), 5, 5), 1, 60).Draw(r, "steps")
-		synctest.Test(t, func(t *testing.T) { brandStory(t, steps) })
+		synctest.Test(t, func(t *testing.T) { runIsolationSteps(t, steps) })
 	})
 }
 
-func brandStory(t *testing.T, steps [][]int) {
+func runIsolationSteps(t *testing.T, steps [][]int) {
 	b := &bronzecore.Balancer{Name: "vm-0"}
 	claims := []int{0, 1, 2}
-	b.SetSnapshot(bronzeconf.Build(1, brandRecords(claims)))
+	b.SetSnapshot(bronzeconf.Build(1, customerRecords(claims)))
 	for i, s := range steps {
 		op, address, caller, server, kind := s[0], s[1]%3, s[2], s[3]%3, s[4]
 		protocol := bronzeflow.TCP
@@ -70,13 +69,13 @@
 			protocol = bronzeflow.UDP
 		}
 		from := netip.AddrPortFrom(netip.MustParseAddr("203.0.113.7"), uint16(1024+caller))
-		p := &bronzeflow.Packet{Key: bronzeflow.NewKey(protocol, from, brandAddress(address)), Payload: kind}
-		id := bronzeflow.NewServerID(brands[server], "h")
+		p := &bronzeflow.Packet{Key: bronzeflow.NewKey(protocol, from, customerAddress(address)), Payload: kind}
+		id := bronzeflow.NewServerID(customers[server], "h")
 		var out []bronzecore.Action
 		switch op {
 		case 0:
 			claims[address] = server
-			b.SetSnapshot(bronzeconf.Build(uint64(i+2), brandRecords(claims)))
+			b.SetSnapshot(bronzeconf.Build(uint64(i+2), customerRecords(claims)))
 		case 1, 2:
 			p.Kind = []bronzeflow.Kind{1, 1, 2, 2, 3, 4}[kind]
 			out = b.FromCaller(p, nil)
@@ -90,16 +89,16 @@
 		for _, a := range out {
 			switch a.Kind {
 			case bronzecore.Forward, bronzecore.Probe, bronzecore.Reply:
-				require.Equal(t, bronzeflow.NewServerID(brands[claims[address]], "h"), a.Server, "step %d", i)
+				require.Equal(t, bronzeflow.NewServerID(customers[claims[address]], "h"), a.Server, "step %d", i)
 			}
 		}
 	}
 }
 
-// Datagrams of a caller stay with the server that got the first one, also
-// when that server starts to leave, and after the owner of the flow dies: the
-// next one has the copy of an exception, and computes the rest.
-func TestDatagramsStay(t *testing.T) {
+// Datagrams of a caller go to the server that got the first one, even when that
+// server starts to drain and after the flow's owner dies: the next owner has the
+// copies of exceptions and computes the servers of all other flows.
+func TestDatagramsPinned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 1, 3, 4)
 		w.record.Rules = append(w.record.Rules, map[string]any{"Protocol": "UDP", "Port": serviceAddr.Port()})
@@ -111,11 +110,11 @@
 		}
 		w.sendDatagrams(first)
 		w.drain(0)
-		w.settle(copyTime)
+		w.run(copyTime)
 		w.sendDatagrams(first)
 		w.kill(w.names()[0])
 		w.setViews(w.names())
-		w.settle(copyTime)
+		w.run(copyTime)
 		w.sendDatagrams(first)
 	})
 }
--- a/bronzecore/outcome_test.go
+++ b/bronzecore/outcome_test.go
@@ -15,8 +15,8 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// alone returns a balancer with two servers and the key of a new flow.
-func alone(t *testing.T) (w *world, b *bronzecore.Balancer, key bronzeflow.Key) {
+// newSingleNode returns a balancer with two servers and the key of a new flow.
+func newSingleNode(t *testing.T) (w *world, b *bronzecore.Balancer, key bronzeflow.Key) {
 	w = newWorld(t, 1, 1, 2)
 	return w, w.nodes[nodeName(0)].Balancer, w.open().key
 }
@@ -28,13 +28,13 @@
 	return k
 }
 
-// The first server refuses the opening; the caller sees nothing of it, since
-// nothing was forwarded but the opening: the second server takes the flow.
-// Then the first one's acceptance of an older copy of the opening arrives. It
-// is dropped and cancelled, and reaches nobody.
-func TestRefusalCrossesAcceptance(t *testing.T) {
+// The first server refuses the opening. No payload was forwarded, so the second
+// server is tried and the caller notices nothing. Then the first server's
+// acceptance of an older copy of the opening arrives. It must be dropped and
+// cancelled and not reach the caller.
+func TestLateAcceptanceAfterRefusal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, b, key := alone(t)
+		_, b, key := newSingleNode(t)
 		first := b.FromCaller(&bronzeflow.Packet{Key: key, Kind: bronzeflow.Open}, nil)[0].Server
 		out := b.FromServer(&bronzeflow.Packet{Key: key, Kind: bronzeflow.Refuse}, []bronzeflow.ServerID{first}, nil)
 		require.Equal(t, []bronzecore.ActionKind{bronzecore.Forward}, kinds(out))
@@ -50,12 +50,12 @@
 	})
 }
 
-// No server answers the opening. Each is told that it is given up before the
-// next is tried; after the last the caller is refused at once, with a time to
-// come back. An answer that comes after that reaches nobody.
+// No server answers the opening. It is cancelled at each server before the next
+// one is tried. After the last one the caller is refused immediately, with a
+// time to retry after. A later answer does not reach the caller.
 func TestAnswerAfterDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, b, key := alone(t)
+		_, b, key := newSingleNode(t)
 		tried := []bronzeflow.ServerID{b.FromCaller(&bronzeflow.Packet{Key: key, Kind: bronzeflow.Open}, nil)[0].Server}
 		var cancelled []bronzeflow.ServerID
 		var refused bool
@@ -64,7 +64,7 @@
 			for _, a := range b.Tick(nil) {
 				switch a.Kind {
 				case bronzecore.Forward:
-					require.Equal(t, tried, cancelled, "tried the next before the last was cancelled")
+					require.Equal(t, tried, cancelled, "next server tried before the previous one was cancelled")
 					tried = append(tried, a.Server)
 				case bronzecore.Cancel:
 					cancelled = append(cancelled, a.Server)
@@ -82,37 +82,38 @@
 	})
 }
 
-// The opening carries payload, and its server refuses it after it may have
-// run. No other server gets it, and the caller is not told that it didn't run.
-func TestOpeningWithPayloadIsNotRetried(t *testing.T) {
+// The opening carries payload, and its server refuses the flow after the payload
+// may have been run. No other server gets the opening, and the caller is not
+// told that nothing was run.
+func TestOpeningWithPayloadNotRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, b, key := alone(t)
+		_, b, key := newSingleNode(t)
 		first := b.FromCaller(&bronzeflow.Packet{Key: key, Kind: bronzeflow.Open, Payload: 10}, nil)[0].Server
 		out := b.FromServer(&bronzeflow.Packet{Key: key, Kind: bronzeflow.Refuse}, []bronzeflow.ServerID{first}, nil)
 		require.Equal(t, []bronzecore.ActionKind{bronzecore.Abort}, kinds(out))
 	})
 }
 
-// A packet that opens nothing comes for a flow that nobody knows. It places
-// nothing: the servers are asked, none knows it, and the caller's flow ends.
-func TestUnknownFlowEndsAndPlacesNothing(t *testing.T) {
+// Data arrives for a flow that no node knows. It places no flow: the servers are
+// probed, none knows the flow, and the caller's flow is aborted.
+func TestUnknownFlowAborted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, _, _ := alone(t)
+		w, _, _ := newSingleNode(t)
 		f := w.flows[0]
 		f.accepted, f.echo = true, 5
-		w.settle(time.Second)
+		w.run(time.Second)
 		require.True(t, f.aborted)
 		require.Empty(t, f.payloadAt)
 		require.Zero(t, w.servers[bronzeflow.NewServerID(customer, "host-0")].opened)
 	})
 }
 
-// A server is removed and its address given to another Customer's server.
-// The caller's flow ends; no packet of it goes to that address any more, and
-// no answer from there reaches the caller.
+// A server is removed and its address is given to another Customer's server. The
+// caller's flow ends; none of its packets goes to that address any more, and no
+// answer from there reaches the caller.
 func TestAddressReusedByAnotherCustomer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, b, key := alone(t)
+		_, b, key := newSingleNode(t)
 		open := b.FromCaller(&bronzeflow.Packet{Key: key, Kind: bronzeflow.Open}, nil)
 		old := []bronzeflow.ServerID{open[0].Server}
 		b.FromServer(&bronzeflow.Packet{Key: key, Kind: bronzeflow.Accept}, old, nil)
@@ -134,68 +135,68 @@
 	})
 }
 
-// The owner of a flow sleeps. Meanwhile its flow is taken over and closed, its
-// server starts to leave, and the same caller opens a new flow under the same
-// key, at another server. The sleeper wakes with its old entry and gets the
-// caller's packets. It asks before it forwards; the old server gets nothing.
-func TestOwnerWakesAfterKeyMoved(t *testing.T) {
+// The owner of a flow is paused. Meanwhile the flow is taken over and closed, its
+// server starts to drain, and the caller opens a new flow under the same key at
+// another server. The old owner resumes with its old entry and gets the caller's
+// packets. It must query before it forwards; the old server gets no payload.
+func TestOwnerResumesAfterKeyMoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 1, 3, 4)
 		f := w.open()
-		w.settle(time.Second)
+		w.run(time.Second)
 		owner := w.ownerOf(f)
-		w.nodes[owner].asleep = true
+		w.nodes[owner].paused = true
 		others := slices.DeleteFunc(w.names(), func(n string) bool { return n == owner })
-		f.via = others
+		f.entryNodes = others
 		w.setViews(others)
-		w.settle(time.Second)
+		w.run(time.Second)
 		old := w.drainServerOf(f)
 		w.reopen(f)
-		w.settle(3 * time.Second)
+		w.run(3 * time.Second)
 		require.Len(t, f.payloadAt, 1)
 		require.NotContains(t, f.payloadAt, old)
-		mark := w.mark()
+		before := w.answeredCounts()
 		n := w.nodes[owner]
-		n.asleep = false
-		f.via = []string{owner}
+		n.paused = false
+		f.entryNodes = []string{owner}
 		n.view.Fenced = true
 		n.SetView(n.view)
-		w.settle(300 * time.Millisecond)
+		w.run(300 * time.Millisecond)
 		w.setViews(w.names(), func(v *bronzefleet.View) { v.Fenced = false })
-		w.settle(2 * time.Second)
-		w.checkSafe()
-		w.checkGoingOn(mark)
+		w.run(2 * time.Second)
+		w.requireInvariants()
+		w.requireProgress(before)
 	})
 }
 
-// A node has learned a flow and then gets no packet of it for a minute. In
-// that time the flow is closed and its key opened at another server. The
-// node's entry is too old to act on: it asks the owner again.
-func TestLearnedEntryIsCheckedAgain(t *testing.T) {
+// A node has learned a flow and then gets no packet of it for longer than
+// LearnedIdleTimeout. Meanwhile the flow is closed and its key opened at another
+// server. The node must not use its old entry but relay to the owner again.
+func TestOldLearnedEntryRechecked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 1, 3, 4)
 		f := w.open()
-		w.settle(time.Second)
-		f.via = slices.DeleteFunc(w.names(), func(n string) bool { return n == w.ownerOf(f) })[:1]
-		w.settle(time.Second)
-		stale := f.via
-		f.via = []string{w.ownerOf(f)}
+		w.run(time.Second)
+		f.entryNodes = slices.DeleteFunc(w.names(), func(n string) bool { return n == w.ownerOf(f) })[:1]
+		w.run(time.Second)
+		stale := f.entryNodes
+		f.entryNodes = []string{w.ownerOf(f)}
 		old := w.drainServerOf(f)
 		cutOff := func(_, to string) bool { return to == stale[0] }
-		w.cut = cutOff // what it is told meanwhile is lost
+		w.cut = cutOff // messages to the node are lost
 		w.reopen(f)
-		w.settle(40 * time.Second)
+		w.run(40 * time.Second)
 		require.NotContains(t, f.payloadAt, old)
 		w.cut = func(string, string) bool { return false }
-		mark := w.mark()
-		f.via = stale
-		w.settle(2 * time.Second)
-		w.checkSafe()
-		w.checkGoingOn(mark)
+		before := w.answeredCounts()
+		f.entryNodes = stale
+		w.run(2 * time.Second)
+		w.requireInvariants()
+		w.requireProgress(before)
 	})
 }
 
-// drainServerOf makes the server of a flow leave.
+// drainServerOf drains the server of a flow and returns the server.
 func (w *world) drainServerOf(f *flow) (id bronzeflow.ServerID) {
 	for i := range w.record.Pool {
 		id = bronzeflow.NewServerID(customer, w.record.Pool[i]["Instance"].(string))
@@ -207,23 +208,23 @@
 	return 0
 }
 
-// Random sequences of openings, kills, joins, pauses, splits, heals, drains,
-// refusing and silent servers. Whatever the order: no request runs twice, no
-// flow's payload reaches two servers, and nobody whose payload was forwarded
-// is told that nothing ran. As long as only planned changes came, no flow
-// ends.
+// Random sequences of openings, joins, planned leaves, drains, kills, partitions
+// that heal, and refusing and silent servers. In any order, no request may run
+// twice, no flow's payload may reach two servers, and no caller whose payload was
+// forwarded may be told that nothing was run. If all changes were planned, no
+// flow may end.
 func TestRandomChanges(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		seed := rapid.Uint64().Draw(r, "seed")
 		steps := rapid.SliceOfN(rapid.IntRange(0, 8), 1, 8).Draw(r, "steps")
-		synctest.Test(t, func(t *testing.T) { randomStory(newWorld(t, seed, 4, 5), steps) })
+		synctest.Test(t, func(t *testing.T) { runRandomChanges(newWorld(t, seed, 4, 5), steps) })
 	})
 }
 
-func randomStory(w *world, steps []int) {
+func runRandomChanges(w *world, steps []int) {
 	planned := true
 	next, drained := 10, 0
-	whole := func(string, string) bool { return false }
+	connected := func(string, string) bool { return false }
 	for _, step := range steps {
 		names := w.names()
 		switch step {
@@ -248,13 +249,13 @@
 			if len(names) > 2 {
 				planned = false
 				w.kill(names[w.rng.IntN(len(names))])
-				w.settle(300 * time.Millisecond)
+				w.run(300 * time.Millisecond)
 				w.setViews(w.names())
 			}
-		case 6: // a split that heals
+		case 6: // a partition that heals
 			planned = false
-			w.splitFor(time.Second)
-			w.cut = whole
+			w.partitionFor(time.Second)
+			w.cut = connected
 			w.setViews(w.names(), func(v *bronzefleet.View) { v.Partitioned = false })
 		case 7: // a server refuses new flows
 			planned = false
@@ -263,20 +264,20 @@
 			planned = false
 			s := w.servers[bronzeflow.NewServerID(customer, "host-4")]
 			s.silent = true
-			w.settle(time.Second)
+			w.run(time.Second)
 			s.silent = false
 		}
-		w.settle(500 * time.Millisecond)
+		w.run(500 * time.Millisecond)
 	}
-	mark := w.mark()
-	w.settle(4 * time.Second)
-	w.checkSafe()
+	before := w.answeredCounts()
+	w.run(4 * time.Second)
+	w.requireInvariants()
 	if planned {
-		w.checkGoingOn(mark)
+		w.requireProgress(before)
 	}
 }
 
-// leave takes a node out as a rolling replacement does.
+// leave removes a node in the way a rolling replacement does.
 func (w *world) leave(name string) {
 	n := w.nodes[name]
 	n.Leave()
@@ -290,12 +291,12 @@
 	n.view = bronzefleet.NewView(name, viewMembers(stay), n.view, time.Now())
 	n.view.Ready = true
 	n.SetView(n.view)
-	w.settle(time.Second)
+	w.run(time.Second)
 	w.kill(name)
 }
 
-// splitFor cuts the fleet in two for a while.
-func (w *world) splitFor(d time.Duration) {
+// partitionFor partitions the fleet into two halves and runs it for d.
+func (w *world) partitionFor(d time.Duration) {
 	names := w.names()
 	half := len(names) / 2
 	side := make(map[string]bool)
@@ -305,10 +306,10 @@
 	w.cut = func(from, to string) bool {
 		return w.nodes[from] != nil && w.nodes[to] != nil && side[from] != side[to]
 	}
-	w.settle(300 * time.Millisecond)
-	split := func(v *bronzefleet.View) { v.Partitioned = true }
-	w.setViews(names[:half], split)
-	w.setViews(names[half:], split)
+	w.run(300 * time.Millisecond)
+	partitioned := func(v *bronzefleet.View) { v.Partitioned = true }
+	w.setViews(names[:half], partitioned)
+	w.setViews(names[half:], partitioned)
 	w.openMany(5)
-	w.settle(d)
+	w.run(d)
 }
--- a/bronzecore/partition_test.go
+++ b/bronzecore/partition_test.go
@@ -12,14 +12,15 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// inSplit marks a view as that of one side of a split.
-func inSplit(v *bronzefleet.View) { v.Partitioned = true }
+// setPartitioned marks a view as that of one side of a partition.
+func setPartitioned(v *bronzefleet.View) { v.Partitioned = true }
 
-// A node joins while an opening is pending at its former owner, which has
-// been refused by the first server and waits for the second. The caller's
-// repeated opening meets the new owner. It asks, and goes on with the second
-// server; placing the flow anew would open it at the first one too.
-func TestNewOwnerTakesPendingOpeningOver(t *testing.T) {
+// A node joins and becomes the owner of a flow whose opening is pending at the
+// former owner. That owner was refused by the first server and waits for the
+// second. The caller's retransmission reaches the new owner, which must query the
+// former one and continue with the second server. Placing the flow again would
+// open it at the first one too.
+func TestPendingOpeningHandedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 1, 2, 3)
 		old, fresh := w.nodes["vm-0"], w.nodes["vm-1"]
@@ -44,28 +45,28 @@
 	})
 }
 
-// While the fleet is split, flows that are opened on both sides must meet the
-// same server, though the sides don't know each other's loads. So all go to
-// the first candidate, which the bound on imbalance would not allow.
-func TestSplitPlacesByTheHashAlone(t *testing.T) {
+// While the fleet is partitioned, flows opened on both sides must reach the same
+// server although the sides don't know each other's loads. So all flows go to
+// their first candidate, which the bound on imbalance would otherwise prevent.
+func TestPartitionPlacesByHash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 1, 1, 5)
-		w.setViews(w.names(), inSplit)
+		w.setViews(w.names(), setPartitioned)
 		for range 200 {
 			f := w.open()
 			out := w.nodes["vm-0"].FromCaller(&bronzeflow.Packet{Key: f.key, Kind: bronzeflow.Open}, nil)
-			require.Equal(t, w.hashAlone(f), out[0].Server)
+			require.Equal(t, w.firstCandidate(f), out[0].Server)
 		}
 	})
 }
 
-// Every server refuses an opening on one side of a split. The other side may
-// have opened the same flow and run a request of it, so its caller must not be
-// told that nothing ran.
-func TestSplitMakesNoClaim(t *testing.T) {
+// Every server refuses an opening on one side of a partition. The other side may
+// have opened the same flow and run a request of it, so the caller must not be
+// told that nothing was run.
+func TestPartitionAbortsInsteadOfRefusing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 1, 1, 2)
-		w.setViews(w.names(), inSplit)
+		w.setViews(w.names(), setPartitioned)
 		b, key := w.nodes["vm-0"], w.open().key
 		out := b.FromCaller(&bronzeflow.Packet{Key: key, Kind: bronzeflow.Open}, nil)
 		for out[0].Kind == bronzecore.Forward {
@@ -82,31 +83,32 @@
 	})
 }
 
-// A flow lives on one side of a split, and for some seconds all its packets
-// enter by the other, which reaches neither the nodes that know it nor its
-// server. It must not be ended: when the split heals it goes on.
-func TestFlowOfTheOtherSideIsNotEnded(t *testing.T) {
-	inBubble(t, 4, 4, func(w *world) {
+// A flow is known on one side of a partition, and for some seconds all its
+// packets enter by the other side, which reaches neither the nodes that know the
+// flow nor its server. The flow must not be ended, and continues after the
+// partition heals.
+func TestPartitionKeepsFlowOfOtherSide(t *testing.T) {
+	runSeeds(t, 4, 4, func(w *world) {
 		f := w.open()
 		here, there := w.names()[:2], w.names()[2:]
-		f.via = here
-		w.settle(time.Second)
+		f.entryNodes = here
+		w.run(time.Second)
 		right := map[string]bool{there[0]: true, there[1]: true}
 		w.cut = func(from, to string) bool { return right[from] != right[to] && to != "caller" && from != "caller" }
-		w.setViews(here, inSplit)
-		w.setViews(there, inSplit)
+		w.setViews(here, setPartitioned)
+		w.setViews(there, setPartitioned)
 		for _, name := range there {
 			w.nodes[name].Balancer = &bronzecore.Balancer{Name: name}
 		}
 		w.publish(there...)
-		w.setViews(there, inSplit)
-		f.via = there
-		w.settle(8 * time.Second)
+		w.setViews(there, setPartitioned)
+		f.entryNodes = there
+		w.run(8 * time.Second)
 		require.False(w.t, f.aborted || f.refused)
-		mark := w.mark()
+		before := w.answeredCounts()
 		w.cut = func(string, string) bool { return false }
 		w.setViews(w.names(), func(v *bronzefleet.View) { v.Partitioned = false })
-		w.settle(4 * time.Second)
-		w.checkGoingOn(mark)
+		w.run(4 * time.Second)
+		w.requireProgress(before)
 	})
 }
--- a/bronzecore/service.go
+++ b/bronzecore/service.go
@@ -33,7 +33,7 @@
 	shared atomic.Bool
 }
 
-// stateOf returns the state stateOf a service, or nil.
+// stateOf returns the state of a service, or nil if it is not in the set.
 func (s *serviceSet) stateOf(conf *bronzeconf.Service) *service {
 	return s.byConf[conf]
 }
--- a/bronzecore/snapshot_test.go
+++ b/bronzecore/snapshot_test.go
@@ -10,9 +10,9 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// A caller would see its node crash: a new configuration is put in force while
-// its opening is decided on. The service is looked up in the former
-// configuration, and the state of that service in the new one, which has none.
+// A new configuration is put in force while an opening is decided on. If the
+// service were looked up in the former configuration and its state in the new
+// one, there would be no state and the node would crash.
 func TestOpeningsDuringSnapshots(t *testing.T) {
 	const services = 320
 	b := &bronzecore.Balancer{Name: "vm-0"}
