--- a/bronzecore/message.go
+++ b/bronzecore/message.go
@@ -31,8 +31,9 @@
 	return d.out
 }
 
-// handleLearn stores the mapping that a flow's owner sent, unless this node
-// owns the flow.
+// handleLearn stores the mapping that a flow's owner sent. It ignores mappings
+// of flows that this node owns or that are not established, and those whose
+// server is not in force.
 func (d *decision) handleLearn(m *bronzelink.Mapping) {
 	if e, ok := d.entry(); ok && e.Flags&bronzeflow.Owned != 0 {
 		return
--- a/bronzecore/tick.go
+++ b/bronzecore/tick.go
@@ -1,7 +1,7 @@
 package bronzecore
 
-// Tick handles timeouts, copies and the expiry of entries. The driver calls it
-// every TickInterval.
+// Tick handles what is due: timeouts, retries, copies and the expiry of entries.
+// The driver calls it every TickInterval.
 func (b *Balancer) Tick(out []Action) []Action {
 	b.init()
 	d := decision{Balancer: b, now: b.clock(), out: out, set: b.services.Load()}
