--- a/bronzefleet/bench_test.go
+++ b/bronzefleet/bench_test.go
@@ -68,7 +68,7 @@
 	}
 	f.do(func(now time.Time) {
 		for _, m := range members[1:] {
-			f.entries[m.Name] = &entry{m: m, since: now, heard: now}
+			f.entries[m.Name] = &entry{m: m, statusSince: now, lastHeard: now}
 		}
 		f.phase = joined
 		f.dirty = true
@@ -141,7 +141,7 @@
 				other.Status = bronzelink.Left
 				f.Handle(from, membersMessage(other))
 				other.Status = bronzelink.Alive
-				other.Incarnation += 1 << lifeShift
+				other.Incarnation += 1 << startShift
 				f.Handle(from, membersMessage(other))
 			}
 			b.ReportMetric(float64(sent)/float64(b.N), "messages/op")
--- a/bronzefleet/bytes_test.go
+++ b/bronzefleet/bytes_test.go
@@ -49,7 +49,7 @@
 				if o != p {
 					m := o.Self
 					m.Status = bronzelink.Alive
-					p.entries[m.Name] = &entry{m: m, since: now, heard: now}
+					p.entries[m.Name] = &entry{m: m, statusSince: now, lastHeard: now}
 				}
 			}
 			p.enter(now)
--- a/bronzefleet/detect.go
+++ b/bronzefleet/detect.go
@@ -54,7 +54,7 @@
 			continue
 		}
 		watches[name] = &watch{acked: now}
-		if len(targets) > targetCount && f.present() {
+		if len(targets) > targetCount && f.announced() {
 			// One next to a suspect: it is asked now, and doubted sooner.
 			watches[name].acked = now.Add(-(suspectIntervals - 1) * f.interval())
 			f.beat(targets[i : i+1])
@@ -88,7 +88,7 @@
 		return
 	}
 	e := f.entries[from]
-	if e == nil || life(h.Member.Incarnation) != life(e.m.Incarnation) {
+	if e == nil || processStart(h.Member.Incarnation) != processStart(e.m.Incarnation) {
 		f.meetStranger(from, e, h)
 		return
 	}
@@ -107,7 +107,7 @@
 // earlier one under a known name is told of the later, and a new one is asked
 // for the missing facts.
 func (f *Fleet) meetStranger(from string, e *entry, h *bronzelink.Heartbeat) {
-	if e != nil && life(h.Member.Incarnation) < life(e.m.Incarnation) {
+	if e != nil && processStart(h.Member.Incarnation) < processStart(e.m.Incarnation) {
 		f.sendTo(from, membersMessage(e.m))
 		return
 	}
@@ -118,7 +118,7 @@
 	if w := f.watches[from]; w != nil {
 		*w = watch{acked: now}
 	}
-	f.markTold(from)
+	f.ackLeave(from)
 	f.answerHelp(from, true)
 	if e := f.entries[from]; e != nil {
 		f.observe(e, a.Digest, a.Revision, now)
@@ -140,7 +140,7 @@
 // behind reports a peer that has a higher revision.
 func (f *Fleet) behind(peer bronzelink.Member) {
 	if f.OnBehind != nil {
-		f.calls = append(f.calls, func() { f.OnBehind(peer) })
+		f.callbacks = append(f.callbacks, func() { f.OnBehind(peer) })
 	}
 }
 
@@ -159,7 +159,7 @@
 	}
 	f.count(CountLate)
 	f.extend(elapsed)
-	if elapsed > leaseIntervals*f.interval() && f.present() && f.failure == nil {
+	if elapsed > leaseIntervals*f.interval() && f.announced() && f.failure == nil {
 		f.fence(now)
 	}
 }
@@ -167,7 +167,7 @@
 // checkLease notices a pause before a message that was waiting is handled: its
 // news may be as old as the pause.
 func (f *Fleet) checkLease(now time.Time) {
-	if f.present() && now.Sub(f.lastTick) > leaseIntervals*f.interval() {
+	if f.announced() && now.Sub(f.lastTick) > leaseIntervals*f.interval() {
 		f.notice(now)
 	}
 }
@@ -179,13 +179,13 @@
 		w.until = w.until.Add(d)
 	}
 	for _, e := range f.entries {
-		e.until = e.until.Add(d)
+		e.refuteDeadline = e.refuteDeadline.Add(d)
 	}
 }
 
 // accuse looks for members that died, if this node has joined.
 func (f *Fleet) accuse(now time.Time) {
-	if f.present() {
+	if f.announced() {
 		f.monitor(now)
 		f.expireSuspects(now)
 	}
@@ -257,7 +257,7 @@
 		f.sendTo(from, checkAck(c.Sequence, c.Target, false))
 		return
 	}
-	f.helping = append(f.helping, help{
+	f.indirectChecks = append(f.indirectChecks, help{
 		asker:    from,
 		sequence: c.Sequence,
 		target:   c.Target,
@@ -272,7 +272,7 @@
 
 // answerHelp answers those that asked about target.
 func (f *Fleet) answerHelp(target string, reached bool) {
-	f.helping = slices.DeleteFunc(f.helping, func(h help) bool {
+	f.indirectChecks = slices.DeleteFunc(f.indirectChecks, func(h help) bool {
 		if h.target != target {
 			return false
 		}
@@ -286,7 +286,7 @@
 
 // expireHelp answers those that asked about members that stay silent.
 func (f *Fleet) expireHelp(now time.Time) {
-	f.helping = slices.DeleteFunc(f.helping, func(h help) bool {
+	f.indirectChecks = slices.DeleteFunc(f.indirectChecks, func(h help) bool {
 		if now.Before(h.until) {
 			return false
 		}
@@ -335,21 +335,21 @@
 		claim.Status = bronzelink.Dead // it owns nothing, so a mistake moves nothing
 	}
 	f.accept(e, claim, now)
-	e.until = now.Add(f.deadAfter())
+	e.refuteDeadline = now.Add(f.deadAfter())
 }
 
 // expireSuspects declares those dead that didn't refute in time, or that the
 // platform says are gone.
 func (f *Fleet) expireSuspects(now time.Time) {
-	for _, e := range f.marked {
+	for _, e := range f.suspectOrDead {
 		if e.m.Status != bronzelink.Suspect {
 			continue
 		}
-		if now.Before(e.until) && !f.confirmedGone(e) {
+		if now.Before(e.refuteDeadline) && !f.confirmedGone(e) {
 			continue
 		}
-		if now.Sub(e.heard) < f.interval() {
-			e.until = now.Add(f.interval()) // it answers; its refutation is on its way
+		if now.Sub(e.lastHeard) < f.interval() {
+			e.refuteDeadline = now.Add(f.interval()) // it answers; its refutation is on its way
 			continue
 		}
 		f.count(CountDied)
--- a/bronzefleet/fleet.go
+++ b/bronzefleet/fleet.go
@@ -91,47 +91,47 @@
 
 	newView func(self string, members []bronzelink.Member, prev *View, now time.Time) *View
 
-	view    atomic.Pointer[View]
-	lease   atomic.Int64 // Unix nanoseconds
-	peers   atomic.Pointer[peers]
-	viewMu  sync.Mutex // orders the calls of OnView
-	shown   uint64     // the last Version that OnView saw, guarded by viewMu
-	load    loads      // has a lock of its own
-	mu      sync.Mutex // guards what follows
-	started bool
-	self    bronzelink.Member
-	phase   phase
-	entries map[string]*entry
-	marked  map[string]*entry // those that are suspect or dead
-	vms     map[string]bronzeconf.VM
-	vmsAt   time.Time
-	seeds   []bronzelink.Member
-	dirty   bool   // the view has to be built again
-	buried  bool   // others may have owned this node's slots meanwhile
-	diedAt  uint64 // the highest incarnation that others held dead
-	fenced  bool
-	split   bool
-	catchUp catchUp
-	digests digests
-	news    map[string]struct{}
-	passed  int       // news passed on since the last heartbeat
-	synced  time.Time // when a comparison of lists was last asked for
-	watches map[string]*watch
-	helping []help
-	untold  map[string]struct{} // neighbours that don't know of the leave
-	told    chan struct{}
-	failure error
-
-	sequence    uint64
-	lastTick    time.Time
-	nextBeat    time.Time
-	recontacted time.Time
-	nextContact int
-	takenAt     time.Time
-	joinBegan   time.Time
-
-	out   []outgoing
-	calls []func()
+	view             atomic.Pointer[View]
+	lease            atomic.Int64 // Unix nanoseconds
+	peers            atomic.Pointer[peers]
+	viewMu           sync.Mutex // orders the calls of OnView
+	notifiedVersion  uint64     // the last Version that OnView saw, guarded by viewMu
+	load             loads      // has a lock of its own
+	mu               sync.Mutex // guards what follows
+	started          bool
+	self             bronzelink.Member
+	phase            phase
+	entries          map[string]*entry
+	suspectOrDead    map[string]*entry // those that are suspect or dead
+	vms              map[string]bronzeconf.VM
+	vmsAt            time.Time
+	seeds            []bronzelink.Member
+	dirty            bool   // the view has to be built again
+	takenOver        bool   // others may have owned this node's slots meanwhile
+	deathIncarnation uint64 // the highest incarnation that others held dead
+	fenced           bool
+	partitioned      bool
+	catchUp          catchUp
+	digests          digests
+	updates          map[string]struct{}
+	updatesSent      int       // news passed on since the last heartbeat
+	lastSync         time.Time // when a comparison of lists was last asked for
+	watches          map[string]*watch
+	indirectChecks   []help
+	leaveUnacked     map[string]struct{} // neighbours that don't know of the leave
+	leaveAcked       chan struct{}
+	failure          error
+
+	sequence      uint64
+	lastTick      time.Time
+	nextHeartbeat time.Time
+	lastRecontact time.Time
+	nextContact   int
+	nameTakenAt   time.Time
+	joinStarted   time.Time
+
+	out       []outgoing
+	callbacks []func()
 }
 
 // phase is how far this node has come in its life.
@@ -161,7 +161,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			f.do(f.depart)
+			f.do(f.announceLeft)
 			return nil
 		case <-ticker.C:
 		}
@@ -215,7 +215,7 @@
 		f.self.Revision = revision
 		f.dirty = true
 		f.finishCatchUp(now)
-		if f.present() {
+		if f.announced() {
 			f.beat(f.neighbours())
 		}
 	})
@@ -242,47 +242,47 @@
 		f.phase = leaving
 		f.self.Status = bronzelink.Leaving
 		f.dirty = true
-		f.spread(f.self.Name)
-		f.flush()
-		f.untold = map[string]struct{}{}
-		f.told = make(chan struct{})
+		f.queueUpdate(f.self.Name)
+		f.sendUpdates()
+		f.leaveUnacked = map[string]struct{}{}
+		f.leaveAcked = make(chan struct{})
 		for _, to := range f.neighbours() {
-			f.untold[to.Name] = struct{}{}
+			f.leaveUnacked[to.Name] = struct{}{}
 		}
 		f.beat(f.neighbours()) // answered after the news, on the same links
-		f.markTold("")
+		f.ackLeave("")
 	}
 	if f.phase == joining {
 		f.phase = left // nobody knows of this node yet
 	}
-	if f.told == nil {
-		f.told = make(chan struct{})
-		close(f.told)
+	if f.leaveAcked == nil {
+		f.leaveAcked = make(chan struct{})
+		close(f.leaveAcked)
 	}
-	return f.told
+	return f.leaveAcked
 }
 
-// markTold notes that the neighbour of that name knows that this node leaves.
-func (f *Fleet) markTold(name string) {
-	if f.untold == nil {
+// ackLeave notes that the neighbour of that name knows that this node leaves.
+func (f *Fleet) ackLeave(name string) {
+	if f.leaveUnacked == nil {
 		return
 	}
-	delete(f.untold, name)
-	if len(f.untold) == 0 {
-		f.untold = nil
-		close(f.told)
+	delete(f.leaveUnacked, name)
+	if len(f.leaveUnacked) == 0 {
+		f.leaveUnacked = nil
+		close(f.leaveAcked)
 	}
 }
 
-// depart tells the peers that this node is gone, so that they need not find
+// announceLeft tells the peers that this node is gone, so that they need not find
 // out.
-func (f *Fleet) depart(time.Time) {
+func (f *Fleet) announceLeft(time.Time) {
 	if f.phase != leaving {
 		return
 	}
 	f.phase = left
 	f.self.Status = bronzelink.Left
-	f.spread(f.self.Name)
+	f.queueUpdate(f.self.Name)
 }
 
 // Handle takes a message from the peer of that name.
@@ -302,7 +302,7 @@
 // handle takes a message about membership.
 func (f *Fleet) handle(from string, m *bronzelink.Message, now time.Time) {
 	if e := f.entries[from]; e != nil {
-		e.heard = now
+		e.lastHeard = now
 	}
 	switch {
 	case m.Heartbeat != nil:
@@ -338,7 +338,7 @@
 func (f *Fleet) Admit(peer bronzelink.Member) (err error) {
 	f.do(func(time.Time) {
 		e := f.entries[peer.Name]
-		if e != nil && f.takes(e, peer) {
+		if e != nil && f.nameConflict(e, peer) {
 			f.count(CountNameTaken)
 			err = bronzelink.ErrNameTaken
 		}
@@ -350,13 +350,13 @@
 func (f *Fleet) do(step func(now time.Time)) {
 	f.mu.Lock()
 	now := time.Now()
-	f.start(now)
+	f.init(now)
 	f.checkLease(now)
 	step(now)
-	f.flush()
+	f.sendUpdates()
 	f.rebuild(now)
-	out, calls := f.out, f.calls
-	f.out, f.calls = nil, nil
+	out, calls := f.out, f.callbacks
+	f.out, f.callbacks = nil, nil
 	f.mu.Unlock()
 	for _, call := range calls {
 		call()
@@ -367,8 +367,8 @@
 	}
 }
 
-// start prepares the zero value.
-func (f *Fleet) start(now time.Time) {
+// init prepares the zero value.
+func (f *Fleet) init(now time.Time) {
 	if f.started {
 		return
 	}
@@ -376,16 +376,16 @@
 	f.self = f.Self
 	f.self.Status = bronzelink.Alive
 	if f.self.Incarnation == 0 {
-		f.self.Incarnation = uint64(now.UnixMilli()) << lifeShift
+		f.self.Incarnation = uint64(now.UnixMilli()) << startShift
 	}
 	if f.newView == nil {
 		f.newView = NewView
 	}
 	f.entries = map[string]*entry{}
-	f.marked = map[string]*entry{}
-	f.news = map[string]struct{}{}
+	f.suspectOrDead = map[string]*entry{}
+	f.updates = map[string]struct{}{}
 	f.watches = map[string]*watch{}
-	f.lastTick, f.nextBeat, f.joinBegan, f.recontacted = now, now, now, now
+	f.lastTick, f.nextHeartbeat, f.joinStarted, f.lastRecontact = now, now, now, now
 	f.dirty = true
 }
 
@@ -396,9 +396,9 @@
 		f.join(now)
 	}
 	f.finishCatchUp(now)
-	if !now.Before(f.nextBeat) && f.present() {
-		f.nextBeat = now.Add(f.interval())
-		f.passed = 0
+	if !now.Before(f.nextHeartbeat) && f.announced() {
+		f.nextHeartbeat = now.Add(f.interval())
+		f.updatesSent = 0
 		f.beat(f.targets())
 	}
 	f.expireHelp(now)
@@ -408,7 +408,7 @@
 	}
 	f.recontactDead(now)
 	f.checkSplit(now)
-	f.calls = append(f.calls, func() { f.load.pace(f, now) })
+	f.callbacks = append(f.callbacks, func() { f.load.pace(f, now) })
 }
 
 func (f *Fleet) failed() error {
@@ -431,8 +431,8 @@
 	return orDefault(f.Interval, DefaultInterval)
 }
 
-// present reports whether the others know of this node.
-func (f *Fleet) present() bool { return f.phase == joined || f.phase == leaving }
+// announced reports whether the others know of this node.
+func (f *Fleet) announced() bool { return f.phase == joined || f.phase == leaving }
 
 func (f *Fleet) nextSequence() uint64 {
 	f.sequence++
--- a/bronzefleet/member.go
+++ b/bronzefleet/member.go
@@ -7,13 +7,13 @@
 	"bronzeusher.example/bronzeusher/bronzelink"
 )
 
-// lifeShift separates the two parts of an Incarnation: the upper one is when
+// startShift separates the two parts of an Incarnation: the upper one is when
 // the process started, the lower one counts its refutations.
-const lifeShift = 16
+const startShift = 16
 
-// life returns the part of an incarnation that is the same for all of one
+// processStart returns the part of an incarnation that is the same for all of one
 // process.
-func life(incarnation uint64) uint64 { return incarnation >> lifeShift }
+func processStart(incarnation uint64) uint64 { return incarnation >> startShift }
 
 // The times for which members that are gone are remembered: longer than news
 // of them can be on its way, and for dead ones as long as a partition may last.
@@ -24,23 +24,23 @@
 
 // entry is what this node knows of another member.
 type entry struct {
-	m         bronzelink.Member
-	since     time.Time // when Status became what it is
-	heard     time.Time // the last message from the member itself
-	until     time.Time // when a suspect is declared dead
-	back      time.Time // when it was last found alive after it was dead
-	saidLeave bool
-	differs   int // heartbeats in a row with another digest
+	m                bronzelink.Member
+	statusSince      time.Time // when Status became what it is
+	lastHeard        time.Time // the last message from the member itself
+	refuteDeadline   time.Time // when a suspect is declared dead
+	returnedAt       time.Time // when it was last found alive after it was dead
+	announcedLeave   bool
+	digestMismatches int // heartbeats in a row with another digest
 }
 
 // live reports whether the member runs as far as this node knows.
 func (e *entry) live() bool { return e.m.Status < bronzelink.Dead }
 
-// takes reports whether peer is another process under the name of the live
+// nameConflict reports whether peer is another process under the name of the live
 // member e. A process that restarted at the same address is not: the old one
 // can't be there any more.
-func (f *Fleet) takes(e *entry, peer bronzelink.Member) bool {
-	return e.live() && life(peer.Incarnation) != life(e.m.Incarnation) &&
+func (f *Fleet) nameConflict(e *entry, peer bronzelink.Member) bool {
+	return e.live() && processStart(peer.Incarnation) != processStart(e.m.Incarnation) &&
 		peer.ControlAddress != e.m.ControlAddress
 }
 
@@ -53,34 +53,34 @@
 	}
 	e := f.entries[claim.Name]
 	if e == nil {
-		f.admit(claim, now)
+		f.addMember(claim, now)
 		return false
 	}
-	claimed, known := life(claim.Incarnation), life(e.m.Incarnation)
+	claimed, known := processStart(claim.Incarnation), processStart(e.m.Incarnation)
 	switch {
 	case claimed < known:
 		return true
 	case claimed > known:
-		if claim.Name == from && f.takes(e, claim) {
+		if claim.Name == from && f.nameConflict(e, claim) {
 			f.count(CountNameTaken)
 			return true
 		}
 		f.accept(e, claim, now)
 		return false
 	default:
-		return f.applySameLife(e, claim, now)
+		return f.applySameProcess(e, claim, now)
 	}
 }
 
-// admit makes an entry for a member that was not known.
-func (f *Fleet) admit(claim bronzelink.Member, now time.Time) {
-	e := &entry{heard: now}
+// addMember makes an entry for a member that was not known.
+func (f *Fleet) addMember(claim bronzelink.Member, now time.Time) {
+	e := &entry{lastHeard: now}
 	f.entries[claim.Name] = e
 	f.accept(e, claim, now)
 }
 
-// applySameLife takes a claim about the process that e knows.
-func (f *Fleet) applySameLife(e *entry, claim bronzelink.Member, now time.Time) (better bool) {
+// applySameProcess takes a claim about the process that e knows.
+func (f *Fleet) applySameProcess(e *entry, claim bronzelink.Member, now time.Time) (better bool) {
 	if claim.Incarnation < e.m.Incarnation || e.m.Status == bronzelink.Left {
 		return claim.Status < e.m.Status || claim.Incarnation < e.m.Incarnation
 	}
@@ -90,13 +90,13 @@
 	}
 	switch claim.Status {
 	case bronzelink.Suspect:
-		if now.Sub(e.heard) < 2*f.interval() {
-			f.tellSubject(claim)
+		if now.Sub(e.lastHeard) < 2*f.interval() {
+			f.forwardToSubject(claim)
 			return false
 		}
 	case bronzelink.Dead:
-		if owns(e.m.Status) && !f.confirms(e, claim, now) {
-			f.doubt(e, claim, now)
+		if owns(e.m.Status) && !f.confirmsDeath(e, claim, now) {
+			f.applyAsSuspicion(e, claim, now)
 			return false
 		}
 	}
@@ -104,8 +104,8 @@
 	return false
 }
 
-// doubt takes a claim of death as a suspicion.
-func (f *Fleet) doubt(e *entry, claim bronzelink.Member, now time.Time) {
+// applyAsSuspicion takes a claim of death as a suspicion.
+func (f *Fleet) applyAsSuspicion(e *entry, claim bronzelink.Member, now time.Time) {
 	f.count(CountDeathUnconfirmed)
 	if e.m.Status == bronzelink.Suspect && claim.Incarnation == e.m.Incarnation {
 		return
@@ -114,16 +114,16 @@
 	f.accept(e, claim, now)
 }
 
-// confirms reports whether e has been suspect here for long enough to believe
+// confirmsDeath reports whether e has been suspect here for long enough to believe
 // a credible claim that it is dead. The other side of a partition that heals
 // holds each member of this side dead; believing it would move every flow twice.
 // As a suspicion it is refuted by the member.
-func (f *Fleet) confirms(e *entry, claim bronzelink.Member, now time.Time) bool {
-	return e.m.Status == bronzelink.Suspect && now.Sub(e.since) >= f.deadAfter()/2 && f.credible(claim, now)
+func (f *Fleet) confirmsDeath(e *entry, claim bronzelink.Member, now time.Time) bool {
+	return e.m.Status == bronzelink.Suspect && now.Sub(e.statusSince) >= f.deadAfter()/2 && f.credible(claim, now)
 }
 
-// incredible is how long the claims of a member that came back are in doubt.
-const incredible = time.Minute
+// distrustAfterReturn is how long the claims of a member that came back are in doubt.
+const distrustAfterReturn = time.Minute
 
 // credible reports whether the member that made a claim was on this side all
 // the time: one that was dead here until a moment ago couldn't reach others
@@ -133,15 +133,15 @@
 		return true
 	}
 	e := f.entries[claim.Accuser]
-	return e != nil && e.live() && (e.back.IsZero() || now.Sub(e.back) >= incredible)
+	return e != nil && e.live() && (e.returnedAt.IsZero() || now.Sub(e.returnedAt) >= distrustAfterReturn)
 }
 
-// tellSubject passes a claim on to the member that it is about, so that it can
+// forwardToSubject passes a claim on to the member that it is about, so that it can
 // refute it. This node has just heard from it, and doesn't believe the claim.
 // It doesn't say so to the claimant, who at the same incarnation knows better
 // in turn: the two would answer each other as fast as the network carries it,
 // until the subject, which may be dead, speaks up.
-func (f *Fleet) tellSubject(claim bronzelink.Member) {
+func (f *Fleet) forwardToSubject(claim bronzelink.Member) {
 	f.sendTo(claim.Name, membersMessage(claim))
 }
 
@@ -152,34 +152,34 @@
 		claim.ControlAddress, claim.DataAddress = e.m.ControlAddress, e.m.DataAddress
 	}
 	if claim.Status != e.m.Status {
-		e.since = now
+		e.statusSince = now
 	}
 	if e.m.Status == bronzelink.Dead && claim.Status < bronzelink.Dead {
-		e.back = now
+		e.returnedAt = now
 	}
-	if life(claim.Incarnation) != life(e.m.Incarnation) {
-		e.saidLeave = false
-		e.heard = now
+	if processStart(claim.Incarnation) != processStart(e.m.Incarnation) {
+		e.announcedLeave = false
+		e.lastHeard = now
 	}
 	switch claim.Status {
 	case bronzelink.Suspect:
-		e.until = now.Add(f.refuteWithin(claim, now))
+		e.refuteDeadline = now.Add(f.refutationTimeout(claim, now))
 	case bronzelink.Leaving, bronzelink.Left:
-		e.saidLeave = true
+		e.announcedLeave = true
 	}
 	e.m = claim
-	delete(f.marked, claim.Name)
+	delete(f.suspectOrDead, claim.Name)
 	if claim.Status == bronzelink.Suspect || claim.Status == bronzelink.Dead {
-		f.marked[claim.Name] = e
+		f.suspectOrDead[claim.Name] = e
 	}
 	f.dirty = true
-	f.spread(claim.Name)
+	f.queueUpdate(claim.Name)
 }
 
-// refuteWithin returns how long this node waits for the refutation of a claim of
+// refutationTimeout returns how long this node waits for the refutation of a claim of
 // another. A credible accuser speaks first. After a partition there are many
 // claims of others at once, so they get more time.
-func (f *Fleet) refuteWithin(claim bronzelink.Member, now time.Time) time.Duration {
+func (f *Fleet) refutationTimeout(claim bronzelink.Member, now time.Time) time.Duration {
 	if f.credible(claim, now) {
 		return 2 * f.deadAfter()
 	}
@@ -188,16 +188,16 @@
 
 // applySelf takes a claim about this node.
 func (f *Fleet) applySelf(claim bronzelink.Member, from string, now time.Time) {
-	f.noteDeath(claim)
+	f.recordOwnDeath(claim)
 	alive := claim.Status < bronzelink.Dead
-	if life(claim.Incarnation) != life(f.self.Incarnation) && alive {
-		f.applyNamesake(claim, now)
+	if processStart(claim.Incarnation) != processStart(f.self.Incarnation) && alive {
+		f.applyNameConflict(claim, now)
 		return
 	}
 	if claim.Incarnation < f.self.Incarnation || claim.Status <= f.self.Status && claim.Incarnation == f.self.Incarnation {
 		return
 	}
-	if life(claim.Incarnation) != life(f.self.Incarnation) {
+	if processStart(claim.Incarnation) != processStart(f.self.Incarnation) {
 		// An earlier process of this name had a clock that ran ahead.
 		f.self.Incarnation = claim.Incarnation
 	}
@@ -210,34 +210,34 @@
 		return
 	}
 	f.count(CountRefuted)
-	f.spread(f.self.Name)
+	f.queueUpdate(f.self.Name)
 	f.sendTo(from, membersMessage(f.self))
 }
 
-// noteDeath notes that others held this process dead, and so owned its slots,
+// recordOwnDeath notes that others held this process dead, and so owned its slots,
 // once for each incarnation: the claim may come after the refutation of a
 // suspicion that led to it.
-func (f *Fleet) noteDeath(claim bronzelink.Member) {
-	same := life(claim.Incarnation) == life(f.self.Incarnation)
-	if claim.Status == bronzelink.Dead && same && claim.Incarnation > f.diedAt {
-		f.diedAt = claim.Incarnation
-		f.buried = true
+func (f *Fleet) recordOwnDeath(claim bronzelink.Member) {
+	same := processStart(claim.Incarnation) == processStart(f.self.Incarnation)
+	if claim.Status == bronzelink.Dead && same && claim.Incarnation > f.deathIncarnation {
+		f.deathIncarnation = claim.Incarnation
+		f.takenOver = true
 		f.dirty = true
 	}
 }
 
-// applyNamesake takes a claim that another process of this name is alive. The
+// applyNameConflict takes a claim that another process of this name is alive. The
 // newcomer gives way while it joins. Once it has joined, which it can only
 // where the old one was held dead, the old one gives way: two owners under one
 // name would place a flow twice.
-func (f *Fleet) applyNamesake(claim bronzelink.Member, now time.Time) {
-	if claim.ControlAddress == f.self.ControlAddress && life(claim.Incarnation) < life(f.self.Incarnation) {
+func (f *Fleet) applyNameConflict(claim bronzelink.Member, now time.Time) {
+	if claim.ControlAddress == f.self.ControlAddress && processStart(claim.Incarnation) < processStart(f.self.Incarnation) {
 		return // this address's earlier process
 	}
 	switch {
 	case f.phase == joining:
 		f.nameTaken(now)
-	case life(claim.Incarnation) > life(f.self.Incarnation):
+	case processStart(claim.Incarnation) > processStart(f.self.Incarnation):
 		f.count(CountNameTaken)
 		f.fenced = true
 		f.dirty = true
@@ -252,52 +252,52 @@
 		return
 	}
 	f.count(CountNameTaken)
-	f.takenAt = now
-	if now.Sub(f.joinBegan) >= orDefault(f.NameWait, DefaultNameWait) {
+	f.nameTakenAt = now
+	if now.Sub(f.joinStarted) >= orDefault(f.NameWait, DefaultNameWait) {
 		f.failure = ErrNameTaken
 	}
 }
 
-// spread makes a member's state news for all neighbours.
-func (f *Fleet) spread(name string) { f.news[name] = struct{}{} }
+// queueUpdate makes a member's state news for all neighbours.
+func (f *Fleet) queueUpdate(name string) { f.updates[name] = struct{}{} }
 
-// newsPerInterval is how many news a node passes on to all its neighbours in
+// updatesPerInterval is how many news a node passes on to all its neighbours in
 // one interval. After a partition, hundreds of members change within seconds;
 // sent to all neighbours they would take a hundred times the bytes that control
 // traffic may, so what is beyond goes around the first ring only.
-const newsPerInterval = 8
+const updatesPerInterval = 8
 
-// flush sends the news to the neighbours, once to each: news that is lost on
+// sendUpdates sends the news to the neighbours, once to each: news that is lost on
 // the way is found by the digests in the heartbeats. A member that is
 // suspected is told itself.
-func (f *Fleet) flush() {
-	if len(f.news) == 0 {
+func (f *Fleet) sendUpdates() {
+	if len(f.updates) == 0 {
 		return
 	}
 	if f.phase == joining {
-		clear(f.news)
+		clear(f.updates)
 		return
 	}
 	if f.dirty {
 		f.setPeers()
 	}
-	f.passed += len(f.news)
+	f.updatesSent += len(f.updates)
 	to := f.neighbours()
-	if f.passed > newsPerInterval {
+	if f.updatesSent > updatesPerInterval {
 		to = f.peers.Load().loads
 	}
 	var list []bronzelink.Member
-	for name := range f.news {
+	for name := range f.updates {
 		m := f.self
 		if e := f.entries[name]; e != nil {
 			m = e.m
 		}
 		list = append(list, m)
-		if m.Status == bronzelink.Suspect && f.passed <= newsPerInterval {
+		if m.Status == bronzelink.Suspect && f.updatesSent <= updatesPerInterval {
 			f.sendTo(name, membersMessage(m))
 		}
 	}
-	clear(f.news)
+	clear(f.updates)
 	slices.SortFunc(list, compareNames)
 	for i := range to {
 		f.send(to[i], membersMessage(list...))
--- a/bronzefleet/network_test.go
+++ b/bronzefleet/network_test.go
@@ -51,7 +51,7 @@
 	zone := fmt.Sprintf("riga-%c", 'a'+i%4)
 	return bronzelink.Member{
 		Name:             fmt.Sprintf("%s-%d", zone, i),
-		Incarnation:      uint64(time.Now().UnixMilli()+int64(i)) << lifeShift,
+		Incarnation:      uint64(time.Now().UnixMilli()+int64(i)) << startShift,
 		AvailabilityZone: zone,
 		Region:           "riga",
 		ControlAddress:   fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250),
--- a/bronzefleet/output.go
+++ b/bronzefleet/output.go
@@ -11,10 +11,10 @@
 	f.viewMu.Lock()
 	defer f.viewMu.Unlock()
 	v := f.view.Load()
-	if v.Version == f.shown {
+	if v.Version == f.notifiedVersion {
 		return
 	}
-	f.shown = v.Version
+	f.notifiedVersion = v.Version
 	if f.OnView != nil {
 		f.OnView(v)
 	}
@@ -31,18 +31,18 @@
 		members = append(members, e.m)
 	}
 	prev := f.view.Load()
-	if f.buried && prev != nil {
+	if f.takenOver && prev != nil {
 		// Others owned this node's slots meanwhile: they changed for it too.
 		prev = f.newView(f.self.Name, members, prev, now)
 	}
-	f.buried = false
-	if f.present() {
+	f.takenOver = false
+	if f.announced() {
 		members = append(members, f.self)
 	}
 	v := f.newView(f.self.Name, members, prev, now)
-	v.Ready = f.present()
+	v.Ready = f.announced()
 	v.Fenced = f.fenced
-	v.Partitioned = f.split
+	v.Partitioned = f.partitioned
 	f.view.Store(v)
 	f.digests = f.computeDigests()
 	f.setPeers()
--- a/bronzefleet/step_test.go
+++ b/bronzefleet/step_test.go
@@ -22,7 +22,7 @@
 	f.do(func(now time.Time) {
 		for _, m := range others {
 			m.Status = bronzelink.Alive
-			f.entries[m.Name] = &entry{m: m, since: now, heard: now}
+			f.entries[m.Name] = &entry{m: m, statusSince: now, lastHeard: now}
 		}
 		f.enter(now)
 		f.dirty = true
@@ -70,7 +70,7 @@
 		f, sent := lone(first, testMember(2))
 		second := first
 		second.Status = bronzelink.Alive
-		second.Incarnation += 1 << lifeShift
+		second.Incarnation += 1 << startShift
 		second.ControlAddress = "10.9.9.9:7000"
 		clear(sent)
 		f.Handle(second.Name, membersMessage(second))
@@ -119,7 +119,7 @@
 		suspect.Status = bronzelink.Suspect
 		suspect.Accuser = testMember(2).Name
 		f.Handle(testMember(2).Name, membersMessage(suspect))
-		f.entries[suspect.Name].until = time.Now().Add(time.Second)
+		f.entries[suspect.Name].refuteDeadline = time.Now().Add(time.Second)
 		time.Sleep(1200 * time.Millisecond)
 		f.do(f.tick)
 		require.False(t, f.View().Fenced)
@@ -152,7 +152,7 @@
 		for _, list := range sent {
 			messages += len(list)
 		}
-		require.LessOrEqual(t, messages, newsPerInterval*2*targetCount+len(others)*2)
+		require.LessOrEqual(t, messages, updatesPerInterval*2*targetCount+len(others)*2)
 	})
 }
 
@@ -165,7 +165,7 @@
 		f, _ := lone(testMember(1), testMember(2), testMember(3))
 		time.Sleep(2 * time.Second)
 		f.lastTick = time.Now()
-		f.entries[testMember(3).Name].back = time.Now()
+		f.entries[testMember(3).Name].returnedAt = time.Now()
 		claim := testMember(1)
 		claim.Status, claim.Accuser = bronzelink.Suspect, testMember(3).Name
 		f.Handle(testMember(3).Name, membersMessage(claim))
--- a/bronzefleet/sync.go
+++ b/bronzefleet/sync.go
@@ -44,7 +44,7 @@
 	for _, e := range f.entries {
 		d.add(e.m)
 	}
-	if f.present() {
+	if f.announced() {
 		d.add(f.self)
 	}
 	return d
@@ -67,15 +67,15 @@
 // compare starts an exchange with a peer whose digest differs for long.
 func (f *Fleet) compare(e *entry, digest uint64, now time.Time) {
 	if digest == f.digests.total {
-		e.differs = 0
+		e.digestMismatches = 0
 		return
 	}
-	e.differs++
-	if e.differs < differBeats || now.Sub(f.synced) < syncIntervals*f.interval() {
+	e.digestMismatches++
+	if e.digestMismatches < differBeats || now.Sub(f.lastSync) < syncIntervals*f.interval() {
 		return
 	}
-	e.differs = 0
-	f.synced = now
+	e.digestMismatches = 0
+	f.lastSync = now
 	f.count(CountSynced)
 	f.exchange(e.m)
 }
@@ -91,7 +91,7 @@
 
 // announcement returns this node, if the others may know of it.
 func (f *Fleet) announcement() []bronzelink.Member {
-	if !f.present() {
+	if !f.announced() {
 		return nil
 	}
 	return []bronzelink.Member{f.self}
@@ -122,7 +122,7 @@
 	a := &bronzelink.Members{
 		Answer:   l.Sequence,
 		Digests:  f.digests.parts,
-		Joined:   f.present() && !f.fenced,
+		Joined:   f.announced() && !f.fenced,
 		Revision: f.self.Revision,
 	}
 	if l.Full {
@@ -217,7 +217,7 @@
 	if !late && (!c.answered || c.revision > f.self.Revision) {
 		return
 	}
-	if f.phase == joining && now.Sub(f.takenAt) < orDefault(f.JoinWait, DefaultJoinWait) {
+	if f.phase == joining && now.Sub(f.nameTakenAt) < orDefault(f.JoinWait, DefaultJoinWait) {
 		return // the name is taken
 	}
 	if late && !c.answered && c.heard.IsZero() {
@@ -225,7 +225,7 @@
 	}
 	*c = catchUp{}
 	f.dirty = true
-	f.buried = f.buried || f.fenced // a peer may have forgotten that it held this node dead
+	f.takenOver = f.takenOver || f.fenced // a peer may have forgotten that it held this node dead
 	f.fenced = false
 	if f.phase == joining {
 		f.enter(now)
@@ -235,8 +235,8 @@
 // enter makes this node a member that owns flows.
 func (f *Fleet) enter(now time.Time) {
 	f.phase = joined
-	f.recontacted = now.Add(-f.recontactAfter() * time.Duration(f.phaseHash()%phases) / phases)
-	f.spread(f.self.Name)
+	f.lastRecontact = now.Add(-f.recontactAfter() * time.Duration(f.phaseHash()%phases) / phases)
+	f.queueUpdate(f.self.Name)
 	for _, w := range f.watches {
 		*w = watch{acked: now}
 	}
@@ -262,11 +262,11 @@
 	if !f.catchUp.active {
 		f.catchUp = catchUp{active: true, first: f.sequence + 1, until: now.Add(orDefault(f.JoinWait, DefaultJoinWait))}
 	}
-	if now.Before(f.nextBeat) {
+	if now.Before(f.nextHeartbeat) {
 		return
 	}
 	if !f.catchUp.heard.IsZero() {
-		f.nextBeat = now.Add(f.interval())
+		f.nextHeartbeat = now.Add(f.interval())
 	}
 	if to, ok := f.contact(); ok {
 		f.send(to, &bronzelink.Message{Members: &bronzelink.Members{Full: true, Sequence: f.nextSequence()}})
@@ -319,18 +319,18 @@
 // recontactDead tries to reach a member that is held dead, or that only the
 // platform knows, and forgets those that are gone for long.
 func (f *Fleet) recontactDead(now time.Time) {
-	if now.Sub(f.recontacted) < f.recontactAfter() || !f.present() {
+	if now.Sub(f.lastRecontact) < f.recontactAfter() || !f.announced() {
 		return
 	}
-	f.recontacted = now
+	f.lastRecontact = now
 	var lost []bronzelink.Member
 	for name, e := range f.entries {
 		switch {
 		case f.forgotten(e, now):
 			delete(f.entries, name)
-			delete(f.marked, name)
+			delete(f.suspectOrDead, name)
 			f.dirty = true
-		case e.m.Status == bronzelink.Dead && !e.saidLeave && !f.confirmedGone(e):
+		case e.m.Status == bronzelink.Dead && !e.announcedLeave && !f.confirmedGone(e):
 			lost = append(lost, e.m)
 		}
 	}
@@ -346,7 +346,7 @@
 
 // recontactAfter returns the time between two attempts to reach a dead member.
 func (f *Fleet) recontactAfter() time.Duration {
-	live := len(f.entries) - len(f.marked) + 1
+	live := len(f.entries) - len(f.suspectOrDead) + 1
 	return recontactIntervals * f.interval() * time.Duration(max(live, recontactNodes)) / recontactNodes
 }
 
@@ -378,12 +378,12 @@
 
 // forgotten reports whether a member is gone for long enough to forget it.
 func (f *Fleet) forgotten(e *entry, now time.Time) bool {
-	gone := now.Sub(e.since)
+	gone := now.Sub(e.statusSince)
 	switch e.m.Status {
 	case bronzelink.Left:
 		return gone > forgetLeft
 	case bronzelink.Dead:
-		return gone > forgetDead || gone > forgetLeft && (e.saidLeave || f.confirmedGone(e))
+		return gone > forgetDead || gone > forgetLeft && (e.announcedLeave || f.confirmedGone(e))
 	default:
 		return false
 	}
@@ -392,7 +392,7 @@
 // confirmedGone reports whether the platform's list, received after the member
 // got its status, is without it.
 func (f *Fleet) confirmedGone(e *entry) bool {
-	if f.vms == nil || !f.vmsAt.After(e.since) {
+	if f.vms == nil || !f.vmsAt.After(e.statusSince) {
 		return false
 	}
 	_, listed := f.vms[e.m.Name]
@@ -402,11 +402,11 @@
 // checkSplit finds out whether the fleet may be split.
 func (f *Fleet) checkSplit(now time.Time) {
 	split := false
-	for _, e := range f.marked {
+	for _, e := range f.suspectOrDead {
 		split = split || f.mayLive(e, now)
 	}
-	if split != f.split {
-		f.split = split
+	if split != f.partitioned {
+		f.partitioned = split
 		f.dirty = true
 	}
 }
@@ -415,12 +415,12 @@
 // process that died looks just like one that was cut off, so this is limited
 // in time: longer if the platform still lists its VM.
 func (f *Fleet) mayLive(e *entry, now time.Time) bool {
-	if e.m.Status != bronzelink.Dead || e.saidLeave || f.confirmedGone(e) {
+	if e.m.Status != bronzelink.Dead || e.announcedLeave || f.confirmedGone(e) {
 		return false
 	}
 	limit := orDefault(f.PartitionTimeout, DefaultPartitionTimeout)
 	if _, listed := f.vms[e.m.Name]; listed {
 		limit = max(limit, orDefault(f.ListedPartitionTimeout, DefaultListedPartitionTimeout))
 	}
-	return now.Sub(e.since) < limit
+	return now.Sub(e.statusSince) < limit
 }
