--- a/bronzefleet/bench_test.go
+++ b/bronzefleet/bench_test.go
@@ -110,7 +110,7 @@
 	}
 	for _, from := range p.neighbours[:min(len(p.neighbours), targetCount)] {
 		receive(b, f, from.Name, &bronzelink.Message{Heartbeat: &bronzelink.Heartbeat{
-			Member: brief(from), Digest: f.digests.total,
+			Member: compact(from), Digest: f.digests.total,
 		}})
 	}
 }
--- a/bronzefleet/bytes_test.go
+++ b/bronzefleet/bytes_test.go
@@ -52,7 +52,7 @@
 					p.entries[m.Name] = &entry{m: m, statusSince: now, lastHeard: now}
 				}
 			}
-			p.enter(now)
+			p.completeJoin(now)
 		})
 		p.start()
 	}
--- a/bronzefleet/detect.go
+++ b/bronzefleet/detect.go
@@ -15,26 +15,26 @@
 	checkIntervals = 1
 	// deadIntervals is how long a suspect has to refute the suspicion.
 	deadIntervals = 4
-	// helperCount is how many members are asked about a silent one.
-	helperCount = 3
-	// loneRounds is how many rounds without any answer of a helper a node
+	// checkerCount is how many members are asked about a silent one.
+	checkerCount = 3
+	// maxUnansweredRounds is how many rounds without any answer of a helper a node
 	// needs to suspect a member by itself: it may be alone in its partition.
-	loneRounds = 2
+	maxUnansweredRounds = 2
 )
 
 // watch is the monitoring of one target.
 type watch struct {
-	acked    time.Time // the last answer
-	checking bool
-	sequence uint64
-	until    time.Time
-	denied   int
-	asked    int
-	rounds   int // in a row without an answer of a helper
+	acked            time.Time // the last answer
+	checking         bool
+	sequence         uint64
+	until            time.Time
+	unreached        int
+	asked            int
+	unansweredRounds int // in a row without an answer of a helper
 }
 
-// help is a check that this node does for another.
-type help struct {
+// indirectCheck is a check that this node does for another.
+type indirectCheck struct {
 	asker    string
 	sequence uint64
 	target   string
@@ -57,14 +57,14 @@
 		if len(targets) > targetCount && f.announced() {
 			// One next to a suspect: it is asked now, and doubted sooner.
 			watches[name].acked = now.Add(-(suspectIntervals - 1) * f.interval())
-			f.beat(targets[i : i+1])
+			f.sendHeartbeats(targets[i : i+1])
 		}
 	}
 	f.watches = watches
 }
 
-// beat sends a heartbeat to each of the members.
-func (f *Fleet) beat(to []bronzelink.Member) {
+// sendHeartbeats sends a heartbeat to each of the members.
+func (f *Fleet) sendHeartbeats(to []bronzelink.Member) {
 	for i := range to {
 		f.send(to[i], f.heartbeat())
 	}
@@ -73,13 +73,13 @@
 func (f *Fleet) heartbeat() *bronzelink.Message {
 	return &bronzelink.Message{Heartbeat: &bronzelink.Heartbeat{
 		Sequence: f.nextSequence(),
-		Member:   brief(f.self),
+		Member:   compact(f.self),
 		Digest:   f.digests.total,
 	}}
 }
 
-// brief returns m without what doesn't change in the life of a process.
-func brief(m bronzelink.Member) bronzelink.Member {
+// compact returns m without what doesn't change in the life of a process.
+func compact(m bronzelink.Member) bronzelink.Member {
 	return bronzelink.Member{Name: m.Name, Incarnation: m.Incarnation, Status: m.Status, Revision: m.Revision}
 }
 
@@ -89,7 +89,7 @@
 	}
 	e := f.entries[from]
 	if e == nil || processStart(h.Member.Incarnation) != processStart(e.m.Incarnation) {
-		f.meetStranger(from, e, h)
+		f.onUnknownHeartbeat(from, e, h)
 		return
 	}
 	if f.apply(h.Member, from, now) {
@@ -103,10 +103,10 @@
 	f.observe(e, h.Digest, h.Member.Revision, now)
 }
 
-// meetStranger answers a heartbeat of a process that this node doesn't know: an
+// onUnknownHeartbeat answers a heartbeat of a process that this node doesn't know: an
 // earlier one under a known name is told of the later, and a new one is asked
 // for the missing facts.
-func (f *Fleet) meetStranger(from string, e *entry, h *bronzelink.Heartbeat) {
+func (f *Fleet) onUnknownHeartbeat(from string, e *entry, h *bronzelink.Heartbeat) {
 	if e != nil && processStart(h.Member.Incarnation) < processStart(e.m.Incarnation) {
 		f.sendTo(from, membersMessage(e.m))
 		return
@@ -119,7 +119,7 @@
 		*w = watch{acked: now}
 	}
 	f.ackLeave(from)
-	f.answerHelp(from, true)
+	f.answerChecks(from, true)
 	if e := f.entries[from]; e != nil {
 		f.observe(e, a.Digest, a.Revision, now)
 	}
@@ -129,7 +129,7 @@
 func (f *Fleet) observe(e *entry, digest, revision uint64, now time.Time) {
 	e.m.Revision = max(e.m.Revision, revision)
 	if revision > f.self.Revision {
-		f.behind(e.m)
+		f.reportBehind(e.m)
 	}
 	if e.m.Status == bronzelink.Suspect {
 		f.sendTo(e.m.Name, membersMessage(e.m)) // it answers, so let it refute
@@ -137,20 +137,20 @@
 	f.compare(e, digest, now)
 }
 
-// behind reports a peer that has a higher revision.
-func (f *Fleet) behind(peer bronzelink.Member) {
+// reportBehind reports a peer that has a higher revision.
+func (f *Fleet) reportBehind(peer bronzelink.Member) {
 	if f.OnBehind != nil {
 		f.callbacks = append(f.callbacks, func() { f.OnBehind(peer) })
 	}
 }
 
-// notice compares the clock with the last round. A round that began late
+// detectPause compares the clock with the last round. A round that began late
 // means that this process was slow: messages from others are still waiting to
 // be read, so all deadlines move by as much and nobody is accused. After a
 // pause longer than the lease, others may own this node's flows: it stops
 // trusting its view until a peer has told it what happened. The wall clock is
 // looked at too, because the other one may stand still while a VM is frozen.
-func (f *Fleet) notice(now time.Time) {
+func (f *Fleet) detectPause(now time.Time) {
 	elapsed := max(now.Sub(f.lastTick), now.Round(0).Sub(f.lastTick.Round(0)))
 	f.lastTick = now
 	tick := orDefault(f.Interval, DefaultInterval) / ticksPerInterval
@@ -158,7 +158,7 @@
 		return
 	}
 	f.count(CountLate)
-	f.extend(elapsed)
+	f.extendDeadlines(elapsed)
 	if elapsed > leaseIntervals*f.interval() && f.announced() && f.failure == nil {
 		f.fence(now)
 	}
@@ -168,12 +168,12 @@
 // news may be as old as the pause.
 func (f *Fleet) checkLease(now time.Time) {
 	if f.announced() && now.Sub(f.lastTick) > leaseIntervals*f.interval() {
-		f.notice(now)
+		f.detectPause(now)
 	}
 }
 
-// extend moves the deadlines on others by d.
-func (f *Fleet) extend(d time.Duration) {
+// extendDeadlines moves the deadlines on others by d.
+func (f *Fleet) extendDeadlines(d time.Duration) {
 	for _, w := range f.watches {
 		w.acked = w.acked.Add(d)
 		w.until = w.until.Add(d)
@@ -183,8 +183,8 @@
 	}
 }
 
-// accuse looks for members that died, if this node has joined.
-func (f *Fleet) accuse(now time.Time) {
+// detectFailures looks for members that died, if this node has joined.
+func (f *Fleet) detectFailures(now time.Time) {
 	if f.announced() {
 		f.monitor(now)
 		f.expireSuspects(now)
@@ -213,17 +213,17 @@
 	w.checking = true
 	w.sequence = f.nextSequence()
 	w.until = now.Add(checkIntervals * f.interval())
-	w.denied, w.asked = 0, 0
-	for _, helper := range f.helpers(e.m) {
+	w.unreached, w.asked = 0, 0
+	for _, helper := range f.checkers(e.m) {
 		f.send(helper, &bronzelink.Message{Check: &bronzelink.Check{Sequence: w.sequence, Target: name}})
 		w.asked++
 	}
 }
 
-// helpers returns the members to ask about target: neighbours that are not
+// checkers returns the members to ask about target: neighbours that are not
 // suspect, those in other zones than this node's first, since a partition
 // between zones then shows as such.
-func (f *Fleet) helpers(target bronzelink.Member) []bronzelink.Member {
+func (f *Fleet) checkers(target bronzelink.Member) []bronzelink.Member {
 	var near, far []bronzelink.Member
 	for _, m := range f.neighbours() {
 		e := f.entries[m.Name]
@@ -237,14 +237,14 @@
 	}
 	// One of the target's own zone, if there is one, is likely to reach it.
 	slices.SortStableFunc(far, func(a, b bronzelink.Member) int {
-		return closeness(b, target) - closeness(a, target)
+		return zoneMatch(b, target) - zoneMatch(a, target)
 	})
-	first := min(len(far), helperCount-1)
+	first := min(len(far), checkerCount-1)
 	helpers := slices.Concat(far[:first], near, far[first:])
-	return helpers[:min(len(helpers), helperCount)]
+	return helpers[:min(len(helpers), checkerCount)]
 }
 
-func closeness(m, target bronzelink.Member) int {
+func zoneMatch(m, target bronzelink.Member) int {
 	if m.AvailabilityZone == target.AvailabilityZone {
 		return 1
 	}
@@ -257,7 +257,7 @@
 		f.sendTo(from, checkAck(c.Sequence, c.Target, false))
 		return
 	}
-	f.indirectChecks = append(f.indirectChecks, help{
+	f.indirectChecks = append(f.indirectChecks, indirectCheck{
 		asker:    from,
 		sequence: c.Sequence,
 		target:   c.Target,
@@ -270,9 +270,9 @@
 	return &bronzelink.Message{CheckAck: &bronzelink.CheckAck{Sequence: sequence, Target: target, Reached: reached}}
 }
 
-// answerHelp answers those that asked about target.
-func (f *Fleet) answerHelp(target string, reached bool) {
-	f.indirectChecks = slices.DeleteFunc(f.indirectChecks, func(h help) bool {
+// answerChecks answers those that asked about target.
+func (f *Fleet) answerChecks(target string, reached bool) {
+	f.indirectChecks = slices.DeleteFunc(f.indirectChecks, func(h indirectCheck) bool {
 		if h.target != target {
 			return false
 		}
@@ -281,12 +281,12 @@
 	})
 }
 
-// helpFailed answers those that asked about a member whose link failed.
-func (f *Fleet) helpFailed(target string) { f.answerHelp(target, false) }
+// failChecks answers those that asked about a member whose link failed.
+func (f *Fleet) failChecks(target string) { f.answerChecks(target, false) }
 
-// expireHelp answers those that asked about members that stay silent.
-func (f *Fleet) expireHelp(now time.Time) {
-	f.indirectChecks = slices.DeleteFunc(f.indirectChecks, func(h help) bool {
+// expireChecks answers those that asked about members that stay silent.
+func (f *Fleet) expireChecks(now time.Time) {
+	f.indirectChecks = slices.DeleteFunc(f.indirectChecks, func(h indirectCheck) bool {
 		if now.Before(h.until) {
 			return false
 		}
@@ -305,8 +305,8 @@
 		*w = watch{acked: now}
 		return
 	}
-	w.denied++
-	if w.denied == w.asked {
+	w.unreached++
+	if w.unreached == w.asked {
 		f.concludeCheck(a.Target, w, now)
 	}
 }
@@ -320,12 +320,12 @@
 	if e == nil || !e.live() {
 		return
 	}
-	if w.denied == 0 && w.asked > 0 && w.rounds < loneRounds {
-		w.rounds++
+	if w.unreached == 0 && w.asked > 0 && w.unansweredRounds < maxUnansweredRounds {
+		w.unansweredRounds++
 		f.startCheck(name, w, now)
 		return
 	}
-	w.rounds = 0
+	w.unansweredRounds = 0
 	w.acked = now
 	f.count(CountSuspected)
 	claim := e.m
--- a/bronzefleet/fleet.go
+++ b/bronzefleet/fleet.go
@@ -94,10 +94,10 @@
 	view             atomic.Pointer[View]
 	lease            atomic.Int64 // Unix nanoseconds
 	peers            atomic.Pointer[peers]
-	viewMu           sync.Mutex // orders the calls of OnView
-	notifiedVersion  uint64     // the last Version that OnView saw, guarded by viewMu
-	load             loads      // has a lock of its own
-	mu               sync.Mutex // guards what follows
+	viewMu           sync.Mutex   // orders the calls of OnView
+	notifiedVersion  uint64       // the last Version that OnView saw, guarded by viewMu
+	load             loadSpreader // has a lock of its own
+	mu               sync.Mutex   // guards what follows
 	started          bool
 	self             bronzelink.Member
 	phase            phase
@@ -117,7 +117,7 @@
 	updatesSent      int       // news passed on since the last heartbeat
 	lastSync         time.Time // when a comparison of lists was last asked for
 	watches          map[string]*watch
-	indirectChecks   []help
+	indirectChecks   []indirectCheck
 	leaveUnacked     map[string]struct{} // neighbours that don't know of the leave
 	leaveAcked       chan struct{}
 	failure          error
@@ -216,7 +216,7 @@
 		f.dirty = true
 		f.finishCatchUp(now)
 		if f.announced() {
-			f.beat(f.neighbours())
+			f.sendHeartbeats(f.neighbours())
 		}
 	})
 }
@@ -249,7 +249,7 @@
 		for _, to := range f.neighbours() {
 			f.leaveUnacked[to.Name] = struct{}{}
 		}
-		f.beat(f.neighbours()) // answered after the news, on the same links
+		f.sendHeartbeats(f.neighbours()) // answered after the news, on the same links
 		f.ackLeave("")
 	}
 	if f.phase == joining {
@@ -326,7 +326,7 @@
 			f.nameTaken(now)
 			return
 		}
-		f.helpFailed(name)
+		f.failChecks(name)
 		if w := f.watches[name]; w != nil && !w.checking && !f.fenced {
 			f.startCheck(name, w, now)
 		}
@@ -361,7 +361,7 @@
 	for _, call := range calls {
 		call()
 	}
-	f.show()
+	f.notifyView()
 	for _, o := range out {
 		f.transmit(o.to, o.m)
 	}
@@ -391,7 +391,7 @@
 
 // tick does what is due.
 func (f *Fleet) tick(now time.Time) {
-	f.notice(now)
+	f.detectPause(now)
 	if f.phase == joining {
 		f.join(now)
 	}
@@ -399,15 +399,15 @@
 	if !now.Before(f.nextHeartbeat) && f.announced() {
 		f.nextHeartbeat = now.Add(f.interval())
 		f.updatesSent = 0
-		f.beat(f.targets())
+		f.sendHeartbeats(f.targets())
 	}
-	f.expireHelp(now)
+	f.expireChecks(now)
 	if !f.fenced {
-		f.accuse(now)
+		f.detectFailures(now)
 		f.lease.Store(now.Add(leaseIntervals * f.interval()).UnixNano())
 	}
 	f.recontactDead(now)
-	f.checkSplit(now)
+	f.checkPartition(now)
 	f.callbacks = append(f.callbacks, func() { f.load.pace(f, now) })
 }
 
--- a/bronzefleet/load.go
+++ b/bronzefleet/load.go
@@ -23,15 +23,15 @@
 	leavingWeight = 1 << 32
 )
 
-// loads spreads the Load of each node to all others. In a small fleet the
+// loadSpreader spreads the Load of each node to all others. In a small fleet the
 // origin sends it to all. In a larger one a Load travels around the first ring
 // both ways, passed on at once by each node that didn't have it; so each node
 // sends each Load about once, which no other way undercuts, one broken place in
 // the ring keeps it from nobody, and a way of half the ring takes less than a
 // second. An origin sends its own as often as the byte budget allows at this
-// size. Where that is too much, the loads wait that changed least, and only the
+// size. Where that is too much, the loadSpreader wait that changed least, and only the
 // newest of an origin does.
-type loads struct {
+type loadSpreader struct {
 	mu         sync.Mutex
 	origins    map[string]*origin
 	waiting    map[*origin]struct{} // those with neighbours that are to get them
@@ -42,7 +42,7 @@
 	ownSent    time.Time
 	sequence   uint64
 	tokens     float64
-	paced      time.Time
+	lastPaced  time.Time
 }
 
 // origin is the newest Load of one node.
@@ -63,14 +63,14 @@
 	f.load.share(&load)
 }
 
-func (s *loads) share(l *bronzelink.Load) {
+func (s *loadSpreader) share(l *bronzelink.Load) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.own = l
 }
 
 // storeOwn makes this node's own load one to be sent if it is time.
-func (s *loads) storeOwn(now time.Time, rate float64) {
+func (s *loadSpreader) storeOwn(now time.Time, rate float64) {
 	if s.own == nil {
 		return
 	}
@@ -94,7 +94,7 @@
 // ownWait returns how many seconds after o the node's own load may be sent. News
 // of a server that leaves goes out at once: every node that lacks it opens new
 // flows there.
-func (s *loads) ownWait(o *origin, rate float64) float64 {
+func (s *loadSpreader) ownWait(o *origin, rate float64) float64 {
 	wait := float64(s.others+1) * float64(o.size) / (rate * loadShare)
 	switch change := difference(o.load, s.own); {
 	case change >= leavingWeight:
@@ -107,7 +107,7 @@
 }
 
 // receive takes a Load that the neighbour from passed on.
-func (s *loads) receive(f *Fleet, from string, l *bronzelink.Load) {
+func (s *loadSpreader) receive(f *Fleet, from string, l *bronzelink.Load) {
 	if l.Origin == f.Self.Name || !s.keep(from, l) {
 		return
 	}
@@ -118,7 +118,7 @@
 }
 
 // keep stores l and reports whether it is newer than what was known.
-func (s *loads) keep(from string, l *bronzelink.Load) bool {
+func (s *loadSpreader) keep(from string, l *bronzelink.Load) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	o := s.origins[l.Origin]
@@ -131,7 +131,7 @@
 }
 
 // store makes l the newest Load of its origin and marks who is to get it.
-func (s *loads) store(l *bronzelink.Load, from string) {
+func (s *loadSpreader) store(l *bronzelink.Load, from string) {
 	if s.origins == nil {
 		s.origins = map[string]*origin{}
 	}
@@ -146,7 +146,7 @@
 }
 
 // mark notes which neighbours are to get o.
-func (s *loads) mark(o *origin) {
+func (s *loadSpreader) mark(o *origin) {
 	o.pending = map[string]struct{}{}
 	if s.direct && o.from != "" {
 		return
@@ -202,7 +202,7 @@
 }
 
 // setNeighbours sets whom loads are sent to.
-func (s *loads) setNeighbours(neighbours []bronzelink.Member, others int) {
+func (s *loadSpreader) setNeighbours(neighbours []bronzelink.Member, others int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.direct = len(neighbours) == others
@@ -214,7 +214,7 @@
 	}
 }
 
-func (s *loads) ownName() string {
+func (s *loadSpreader) ownName() string {
 	if s.own == nil {
 		return ""
 	}
@@ -222,7 +222,7 @@
 }
 
 // forget drops the origins that are not in names.
-func (s *loads) forget(members map[string]*entry, self string) {
+func (s *loadSpreader) forget(members map[string]*entry, self string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for name := range s.origins {
@@ -235,21 +235,21 @@
 
 // pace sends what the byte budget allows: the loads first that changed most or
 // wait longest.
-func (s *loads) pace(f *Fleet, now time.Time) {
+func (s *loadSpreader) pace(f *Fleet, now time.Time) {
 	for _, o := range s.due(now, float64(orDefault(f.LoadBytesPerSecond, DefaultLoadBytesPerSecond))) {
 		f.transmit(o.to, o.m)
 	}
 }
 
 // due returns the messages that may be sent now.
-func (s *loads) due(now time.Time, rate float64) (out []outgoing) {
+func (s *loadSpreader) due(now time.Time, rate float64) (out []outgoing) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.paced.IsZero() {
-		s.paced = now
+	if s.lastPaced.IsZero() {
+		s.lastPaced = now
 	}
-	s.tokens = min(s.tokens+rate*now.Sub(s.paced).Seconds(), rate*loadBurst.Seconds())
-	s.paced = now
+	s.tokens = min(s.tokens+rate*now.Sub(s.lastPaced).Seconds(), rate*loadBurst.Seconds())
+	s.lastPaced = now
 	s.storeOwn(now, rate)
 	for _, o := range s.byUrgency(now) {
 		limit := 0.0
@@ -281,7 +281,7 @@
 }
 
 // byUrgency returns the loads that wait, the most urgent first.
-func (s *loads) byUrgency(now time.Time) []*origin {
+func (s *loadSpreader) byUrgency(now time.Time) []*origin {
 	return slices.SortedFunc(maps.Keys(s.waiting), func(a, b *origin) int {
 		return cmp.Or(cmp.Compare(b.urgency(now), a.urgency(now)), cmp.Compare(a.load.Origin, b.load.Origin))
 	})
--- a/bronzefleet/member.go
+++ b/bronzefleet/member.go
@@ -284,7 +284,7 @@
 	f.updatesSent += len(f.updates)
 	to := f.neighbours()
 	if f.updatesSent > updatesPerInterval {
-		to = f.peers.Load().loads
+		to = f.peers.Load().loadPeers
 	}
 	var list []bronzelink.Member
 	for name := range f.updates {
--- a/bronzefleet/output.go
+++ b/bronzefleet/output.go
@@ -6,8 +6,8 @@
 	"bronzeusher.example/bronzeusher/bronzelink"
 )
 
-// show calls OnView with the newest view if it hasn't seen it.
-func (f *Fleet) show() {
+// notifyView calls OnView with the newest view if it hasn't seen it.
+func (f *Fleet) notifyView() {
 	f.viewMu.Lock()
 	defer f.viewMu.Unlock()
 	v := f.view.Load()
--- a/bronzefleet/peers.go
+++ b/bronzefleet/peers.go
@@ -22,7 +22,7 @@
 type peers struct {
 	targets    []bronzelink.Member // monitored by this node
 	neighbours []bronzelink.Member // targets, and those that monitor this node
-	loads      []bronzelink.Member // that loads are sent to
+	loadPeers  []bronzelink.Member // that loads are sent to
 }
 
 // ring is an order of members around a circle by hash.
@@ -43,10 +43,10 @@
 
 // choosePeers returns the peers of self among the other members.
 func choosePeers(self bronzelink.Member, others []bronzelink.Member) *peers {
-	var targets, monitors chosen
+	var targets, monitors selection
 	var doubted []bronzelink.Member
 	for _, r := range rings {
-		doubted = append(doubted, r.doubted(self, others)...)
+		doubted = append(doubted, r.extraTargets(self, others)...)
 		targets.add(r.walk(self, others, 1), 1)
 		monitors.add(r.walk(self, others, -1), 1)
 	}
@@ -56,12 +56,12 @@
 	monitors.add(rings[0].walk(self, others, -1), targetCount)
 	watched := union(targets.members, doubted)
 	if len(others) < smallFleet {
-		return &peers{targets: watched, neighbours: others, loads: others}
+		return &peers{targets: watched, neighbours: others, loadPeers: others}
 	}
 	return &peers{
 		targets:    watched,
 		neighbours: union(targets.members, monitors.members),
-		loads:      union(targets.members[:1], monitors.members[:1]),
+		loadPeers:  union(targets.members[:1], monitors.members[:1]),
 	}
 }
 
@@ -72,11 +72,11 @@
 	return slices.CompactFunc(list, func(a, b bronzelink.Member) bool { return a.Name == b.Name })
 }
 
-// chosen collects up to targetCount members.
-type chosen struct{ members []bronzelink.Member }
+// selection collects up to targetCount members.
+type selection struct{ members []bronzelink.Member }
 
 // add takes the first n members of walk that are not chosen yet.
-func (c *chosen) add(walk []bronzelink.Member, n int) {
+func (c *selection) add(walk []bronzelink.Member, n int) {
 	for _, m := range walk {
 		if n == 0 || len(c.members) == targetCount {
 			return
@@ -121,14 +121,14 @@
 
 func (r ring) hash(name string) uint64 { return bronzeflow.Mix(xxhash.Sum64String(name), r.salt) }
 
-// maxDoubted bounds the members that one ring makes a node monitor.
-const maxDoubted = 16
+// maxExtraTargets bounds the members that one ring makes a node monitor.
+const maxExtraTargets = 16
 
-// doubted returns the members that self monitors beside its target because that
+// extraTargets returns the members that self monitors beside its target because that
 // is suspect: twice as many as there are suspects in a row. A partition cuts
 // off many members at once, and most of them lie behind others on the rings;
 // found one after the other, the last would be found after a minute.
-func (r ring) doubted(self bronzelink.Member, others []bronzelink.Member) (list []bronzelink.Member) {
+func (r ring) extraTargets(self bronzelink.Member, others []bronzelink.Member) (list []bronzelink.Member) {
 	if !slices.ContainsFunc(others, isSuspect) {
 		return nil
 	}
@@ -138,7 +138,7 @@
 			suspects++
 		}
 		list = append(list, m)
-		if len(list) > min(2*suspects, maxDoubted) {
+		if len(list) > min(2*suspects, maxExtraTargets) {
 			return list
 		}
 	}
@@ -177,7 +177,7 @@
 	slices.SortFunc(others, compareNames)
 	p := choosePeers(f.self, others)
 	f.peers.Store(p)
-	f.load.setNeighbours(p.loads, len(others))
+	f.load.setNeighbours(p.loadPeers, len(others))
 	f.setWatches(p.targets)
 }
 
--- a/bronzefleet/step_test.go
+++ b/bronzefleet/step_test.go
@@ -24,7 +24,7 @@
 			m.Status = bronzelink.Alive
 			f.entries[m.Name] = &entry{m: m, statusSince: now, lastHeard: now}
 		}
-		f.enter(now)
+		f.completeJoin(now)
 		f.dirty = true
 	})
 	return f, sent
--- a/bronzefleet/sync.go
+++ b/bronzefleet/sync.go
@@ -16,9 +16,9 @@
 	// parts is how many parts a list of members is compared in.
 	parts     = 64
 	partShift = 64 - 6
-	// differBeats is how many heartbeats in a row must show another digest
+	// mismatchLimit is how many heartbeats in a row must show another digest
 	// before lists are compared: news on its way settles by itself.
-	differBeats = 3
+	mismatchLimit = 3
 	// syncIntervals is the least time between two comparisons of lists.
 	syncIntervals = 4
 	// recontactIntervals is the time between two attempts of a node to reach a
@@ -71,7 +71,7 @@
 		return
 	}
 	e.digestMismatches++
-	if e.digestMismatches < differBeats || now.Sub(f.lastSync) < syncIntervals*f.interval() {
+	if e.digestMismatches < mismatchLimit || now.Sub(f.lastSync) < syncIntervals*f.interval() {
 		return
 	}
 	e.digestMismatches = 0
@@ -172,12 +172,12 @@
 
 // catchUp is the wait for a peer's answer while joining or after a pause.
 type catchUp struct {
-	active   bool
-	first    uint64 // the first Sequence that counts as an answer
-	answered bool   // by a member that is in step with the fleet
-	heard    time.Time
-	revision uint64
-	until    time.Time
+	active      bool
+	first       uint64 // the first Sequence that counts as an answer
+	answered    bool   // by a member that is in step with the fleet
+	firstAnswer time.Time
+	revision    uint64
+	until       time.Time
 }
 
 // onAnswer notes an answer to what this node asked while catching up.
@@ -186,12 +186,12 @@
 	if !c.active || l.Answer < c.first {
 		return
 	}
-	if c.heard.IsZero() {
-		c.heard = now
+	if c.firstAnswer.IsZero() {
+		c.firstAnswer = now
 	}
 	c.revision = max(c.revision, l.Revision)
 	if l.Revision > f.self.Revision {
-		f.behind(f.member(from))
+		f.reportBehind(f.member(from))
 	}
 	c.answered = c.answered || l.Joined
 	f.finishCatchUp(now)
@@ -220,7 +220,7 @@
 	if f.phase == joining && now.Sub(f.nameTakenAt) < orDefault(f.JoinWait, DefaultJoinWait) {
 		return // the name is taken
 	}
-	if late && !c.answered && c.heard.IsZero() {
+	if late && !c.answered && c.firstAnswer.IsZero() {
 		f.countUnanswered()
 	}
 	*c = catchUp{}
@@ -228,12 +228,12 @@
 	f.takenOver = f.takenOver || f.fenced // a peer may have forgotten that it held this node dead
 	f.fenced = false
 	if f.phase == joining {
-		f.enter(now)
+		f.completeJoin(now)
 	}
 }
 
-// enter makes this node a member that owns flows.
-func (f *Fleet) enter(now time.Time) {
+// completeJoin makes this node a member that owns flows.
+func (f *Fleet) completeJoin(now time.Time) {
 	f.phase = joined
 	f.lastRecontact = now.Add(-f.recontactAfter() * time.Duration(f.phaseHash()%phases) / phases)
 	f.queueUpdate(f.self.Name)
@@ -265,7 +265,7 @@
 	if now.Before(f.nextHeartbeat) {
 		return
 	}
-	if !f.catchUp.heard.IsZero() {
+	if !f.catchUp.firstAnswer.IsZero() {
 		f.nextHeartbeat = now.Add(f.interval())
 	}
 	if to, ok := f.contact(); ok {
@@ -326,7 +326,7 @@
 	var lost []bronzelink.Member
 	for name, e := range f.entries {
 		switch {
-		case f.forgotten(e, now):
+		case f.expired(e, now):
 			delete(f.entries, name)
 			delete(f.suspectOrDead, name)
 			f.dirty = true
@@ -376,8 +376,8 @@
 	return all
 }
 
-// forgotten reports whether a member is gone for long enough to forget it.
-func (f *Fleet) forgotten(e *entry, now time.Time) bool {
+// expired reports whether a member is gone for long enough to forget it.
+func (f *Fleet) expired(e *entry, now time.Time) bool {
 	gone := now.Sub(e.statusSince)
 	switch e.m.Status {
 	case bronzelink.Left:
@@ -399,11 +399,11 @@
 	return !listed
 }
 
-// checkSplit finds out whether the fleet may be split.
-func (f *Fleet) checkSplit(now time.Time) {
+// checkPartition finds out whether the fleet may be split.
+func (f *Fleet) checkPartition(now time.Time) {
 	split := false
 	for _, e := range f.suspectOrDead {
-		split = split || f.mayLive(e, now)
+		split = split || f.maybePartitioned(e, now)
 	}
 	if split != f.partitioned {
 		f.partitioned = split
@@ -411,10 +411,10 @@
 	}
 }
 
-// mayLive reports whether a member that died here may be alive elsewhere. A
+// maybePartitioned reports whether a member that died here may be alive elsewhere. A
 // process that died looks just like one that was cut off, so this is limited
 // in time: longer if the platform still lists its VM.
-func (f *Fleet) mayLive(e *entry, now time.Time) bool {
+func (f *Fleet) maybePartitioned(e *entry, now time.Time) bool {
 	if e.m.Status != bronzelink.Dead || e.announcedLeave || f.confirmedGone(e) {
 		return false
 	}
--- a/bronzefleet/table.go
+++ b/bronzefleet/table.go
@@ -13,10 +13,10 @@
 // none is the index of no node.
 const none = ^uint16(0)
 
-// formerWindow is for how long a former owner of a slot is remembered when
+// previousWindow is for how long a former owner of a slot is remembered when
 // the slot changes again: longer than any flow waits for an answer, so that
 // two changes in a row don't hide the owner before the first.
-const formerWindow = 60 * time.Second
+const previousWindow = 60 * time.Second
 
 // node is a member with the hash that its scores are computed from.
 type node struct {
@@ -31,21 +31,21 @@
 
 // table is the ownership of all slots. It is immutable once it is in a View.
 type table struct {
-	nodes   []node // by index; a node that is gone keeps its index for a while
-	live    map[string]uint16
-	dead    map[string]struct{}
-	orders  []order
-	former  []order // the owners before the last change
-	changed []int64 // Unix nanoseconds, 0 for never
+	nodes    []node // by index; a node that is gone keeps its index for a while
+	live     map[string]uint16
+	dead     map[string]struct{}
+	orders   []order
+	previous []order // the owners before the last change
+	changed  []int64 // Unix nanoseconds, 0 for never
 }
 
 // newTable returns the table of owners with no change on record.
 func newTable(owners map[string]struct{}) *table {
 	t := &table{
-		live:    make(map[string]uint16, len(owners)),
-		orders:  slices.Repeat([]order{emptyOrder}, Slots),
-		former:  slices.Repeat([]order{emptyOrder}, Slots),
-		changed: make([]int64, Slots),
+		live:     make(map[string]uint16, len(owners)),
+		orders:   slices.Repeat([]order{emptyOrder}, Slots),
+		previous: slices.Repeat([]order{emptyOrder}, Slots),
+		changed:  make([]int64, Slots),
 	}
 	t.join(slices.Sorted(maps.Keys(owners)))
 	return t
@@ -74,14 +74,14 @@
 	if len(joined) == 0 && len(gone) == 0 && maps.Equal(t.dead, dead) {
 		return t
 	}
-	next := &table{nodes: t.nodes, live: t.live, dead: dead, orders: t.orders, former: t.former, changed: t.changed}
+	next := &table{nodes: t.nodes, live: t.live, dead: dead, orders: t.orders, previous: t.previous, changed: t.changed}
 	if len(joined) == 0 && len(gone) == 0 {
 		return next
 	}
 	next.nodes = slices.Clone(t.nodes)
 	next.live = maps.Clone(t.live)
 	next.orders = slices.Clone(t.orders)
-	next.former = slices.Clone(t.former)
+	next.previous = slices.Clone(t.previous)
 	next.changed = slices.Clone(t.changed)
 	slices.Sort(joined)
 	next.join(joined)
@@ -117,7 +117,7 @@
 		if r.order[k] == i {
 			return
 		}
-		if !t.before(i, score, r, k) {
+		if !t.ranksBefore(i, score, r, k) {
 			continue
 		}
 		copy(r.order[k+1:], r.order[k:])
@@ -127,8 +127,8 @@
 	}
 }
 
-// before reports whether node i with that score comes before place k of r.
-func (t *table) before(i uint16, score uint64, r *ranking, k int) bool {
+// ranksBefore reports whether node i with that score comes ranksBefore place k of r.
+func (t *table) ranksBefore(i uint16, score uint64, r *ranking, k int) bool {
 	if r.order[k] == none || score != r.scores[k] {
 		return r.order[k] == none || score > r.scores[k]
 	}
@@ -192,8 +192,8 @@
 	for _, i := range t.live {
 		used[i] = true
 	}
-	for slot := range t.former {
-		for _, i := range t.former[slot] {
+	for slot := range t.previous {
+		for _, i := range t.previous[slot] {
 			if i != none {
 				used[i] = true
 			}
@@ -243,20 +243,20 @@
 		if was == none && len(back) == 0 {
 			continue // nobody owned it before
 		}
-		if at-t.changed[slot] >= int64(formerWindow) || t.changed[slot] == 0 {
-			t.former[slot] = emptyOrder
+		if at-t.changed[slot] >= int64(previousWindow) || t.changed[slot] == 0 {
+			t.previous[slot] = emptyOrder
 		}
-		t.former[slot] = t.formerOrder(slot, was, is, back)
+		t.previous[slot] = t.previousOrder(slot, was, is, back)
 		t.changed[slot] = at
 	}
 }
 
-// formerOrder returns the former owners of a slot: the last one first, then the
+// previousOrder returns the former owners of a slot: the last one first, then the
 // best of the earlier ones and of those that came back. The owner of now isn't
 // among them.
-func (t *table) formerOrder(slot int, was, is uint16, back []string) order {
+func (t *table) previousOrder(slot int, was, is uint16, back []string) order {
 	rest := ranking{order: emptyOrder}
-	for _, i := range t.former[slot] {
+	for _, i := range t.previous[slot] {
 		if i != none && i != was && i != is {
 			t.insert(slot, &rest, i)
 		}
--- a/bronzefleet/view.go
+++ b/bronzefleet/view.go
@@ -137,7 +137,7 @@
 	if v.table == nil {
 		return names, 0
 	}
-	for _, i := range v.table.former[Slot(hash)] {
+	for _, i := range v.table.previous[Slot(hash)] {
 		if i == none {
 			continue
 		}
