--- a/bronzefleet/detect.go
+++ b/bronzefleet/detect.go
@@ -214,8 +214,8 @@
 	w.sequence = f.nextSequence()
 	w.until = now.Add(checkIntervals * f.interval())
 	w.unreached, w.asked = 0, 0
-	for _, helper := range f.checkers(e.m) {
-		f.send(helper, &bronzelink.Message{Check: &bronzelink.Check{Sequence: w.sequence, Target: name}})
+	for _, checker := range f.checkers(e.m) {
+		f.send(checker, &bronzelink.Message{Check: &bronzelink.Check{Sequence: w.sequence, Target: name}})
 		w.asked++
 	}
 }
@@ -224,24 +224,24 @@
 // suspect, those in other zones than this node's first, since a partition
 // between zones then shows as such.
 func (f *Fleet) checkers(target bronzelink.Member) []bronzelink.Member {
-	var near, far []bronzelink.Member
+	var local, remote []bronzelink.Member
 	for _, m := range f.neighbours() {
 		e := f.entries[m.Name]
 		switch {
 		case e == nil || m.Name == target.Name || e.m.Status != bronzelink.Alive:
 		case m.AvailabilityZone == f.self.AvailabilityZone:
-			near = append(near, m)
+			local = append(local, m)
 		default:
-			far = append(far, m)
+			remote = append(remote, m)
 		}
 	}
 	// One of the target's own zone, if there is one, is likely to reach it.
-	slices.SortStableFunc(far, func(a, b bronzelink.Member) int {
+	slices.SortStableFunc(remote, func(a, b bronzelink.Member) int {
 		return zoneMatch(b, target) - zoneMatch(a, target)
 	})
-	first := min(len(far), checkerCount-1)
-	helpers := slices.Concat(far[:first], near, far[first:])
-	return helpers[:min(len(helpers), checkerCount)]
+	first := min(len(remote), checkerCount-1)
+	list := slices.Concat(remote[:first], local, remote[first:])
+	return list[:min(len(list), checkerCount)]
 }
 
 func zoneMatch(m, target bronzelink.Member) int {
--- a/bronzefleet/member.go
+++ b/bronzefleet/member.go
@@ -46,7 +46,7 @@
 
 // apply takes a claim about a member, which came from the member from. It
 // reports whether this node knows better.
-func (f *Fleet) apply(claim bronzelink.Member, from string, now time.Time) (better bool) {
+func (f *Fleet) apply(claim bronzelink.Member, from string, now time.Time) (outdated bool) {
 	if claim.Name == f.self.Name {
 		f.applySelf(claim, from, now)
 		return false
@@ -80,7 +80,7 @@
 }
 
 // applySameProcess takes a claim about the process that e knows.
-func (f *Fleet) applySameProcess(e *entry, claim bronzelink.Member, now time.Time) (better bool) {
+func (f *Fleet) applySameProcess(e *entry, claim bronzelink.Member, now time.Time) (outdated bool) {
 	if claim.Incarnation < e.m.Incarnation || e.m.Status == bronzelink.Left {
 		return claim.Status < e.m.Status || claim.Incarnation < e.m.Incarnation
 	}
--- a/bronzefleet/peers.go
+++ b/bronzefleet/peers.go
@@ -44,9 +44,9 @@
 // choosePeers returns the peers of self among the other members.
 func choosePeers(self bronzelink.Member, others []bronzelink.Member) *peers {
 	var targets, monitors selection
-	var doubted []bronzelink.Member
+	var extra []bronzelink.Member
 	for _, r := range rings {
-		doubted = append(doubted, r.extraTargets(self, others)...)
+		extra = append(extra, r.extraTargets(self, others)...)
 		targets.add(r.walk(self, others, 1), 1)
 		monitors.add(r.walk(self, others, -1), 1)
 	}
@@ -54,12 +54,12 @@
 	// places that the first ring fills.
 	targets.add(rings[0].walk(self, others, 1), targetCount)
 	monitors.add(rings[0].walk(self, others, -1), targetCount)
-	watched := union(targets.members, doubted)
+	monitored := union(targets.members, extra)
 	if len(others) < smallFleet {
-		return &peers{targets: watched, neighbours: others, loadPeers: others}
+		return &peers{targets: monitored, neighbours: others, loadPeers: others}
 	}
 	return &peers{
-		targets:    watched,
+		targets:    monitored,
 		neighbours: union(targets.members, monitors.members),
 		loadPeers:  union(targets.members[:1], monitors.members[:1]),
 	}
--- a/bronzefleet/sync.go
+++ b/bronzefleet/sync.go
@@ -98,22 +98,22 @@
 }
 
 func (f *Fleet) onMembers(from string, l *bronzelink.Members, now time.Time) {
-	mine := f.digests.parts
-	var better []bronzelink.Member
+	own := f.digests.parts
+	var newer []bronzelink.Member
 	for _, claim := range l.Members {
 		if claim.Name != "" && f.apply(claim, from, now) {
-			better = append(better, f.entries[claim.Name].m)
+			newer = append(newer, f.entries[claim.Name].m)
 		}
 	}
 	if l.Answer != 0 {
 		f.onAnswer(from, l, now)
-		better = append(better, f.unmentioned(mine, l)...)
+		newer = append(newer, f.unmentioned(own, l)...)
 	}
 	if l.Sequence != 0 {
 		f.answer(from, l)
 	}
-	if len(better) > 0 {
-		f.sendTo(from, membersMessage(better...))
+	if len(newer) > 0 {
+		f.sendTo(from, membersMessage(newer...))
 	}
 }
 
@@ -153,7 +153,7 @@
 }
 
 // unmentioned returns the live members that an answer should have held.
-func (f *Fleet) unmentioned(mine []uint32, l *bronzelink.Members) []bronzelink.Member {
+func (f *Fleet) unmentioned(own []uint32, l *bronzelink.Members) []bronzelink.Member {
 	if len(l.Digests) != parts {
 		return nil
 	}
@@ -163,7 +163,7 @@
 	}
 	var list []bronzelink.Member
 	for _, m := range f.list() {
-		if _, ok := mentioned[m.Name]; !ok && m.Status < bronzelink.Dead && differ(mine, l.Digests, m.Name) {
+		if _, ok := mentioned[m.Name]; !ok && m.Status < bronzelink.Dead && differ(own, l.Digests, m.Name) {
 			list = append(list, m)
 		}
 	}
@@ -323,7 +323,7 @@
 		return
 	}
 	f.lastRecontact = now
-	var lost []bronzelink.Member
+	var candidates []bronzelink.Member
 	for name, e := range f.entries {
 		switch {
 		case f.expired(e, now):
@@ -331,17 +331,17 @@
 			delete(f.suspectOrDead, name)
 			f.dirty = true
 		case e.m.Status == bronzelink.Dead && !e.announcedLeave && !f.confirmedGone(e):
-			lost = append(lost, e.m)
+			candidates = append(candidates, e.m)
 		}
 	}
 	f.load.forget(f.entries, f.self.Name)
-	lost = append(lost, f.unknown()...)
-	if len(lost) == 0 {
+	candidates = append(candidates, f.unknown()...)
+	if len(candidates) == 0 {
 		return
 	}
-	slices.SortFunc(lost, compareContacts)
+	slices.SortFunc(candidates, compareContacts)
 	f.nextContact++
-	f.exchange(lost[(f.nextContact+int(f.phaseHash()))%len(lost)])
+	f.exchange(candidates[(f.nextContact+int(f.phaseHash()))%len(candidates)])
 }
 
 // recontactAfter returns the time between two attempts to reach a dead member.
--- a/bronzefleet/table.go
+++ b/bronzefleet/table.go
@@ -146,13 +146,13 @@
 		indexes[k] = t.index(name)
 		t.live[name] = indexes[k]
 	}
-	many := len(names) >= manyJoins
-	if many {
+	rebuild := len(names) >= manyJoins
+	if rebuild {
 		indexes = t.indexes()
 	}
 	for slot := range t.orders {
 		r := ranking{order: emptyOrder}
-		if !many {
+		if !rebuild {
 			r = t.rank(slot, t.orders[slot])
 		}
 		for _, i := range indexes {
@@ -236,17 +236,17 @@
 func (t *table) record(prev *table, back []string, now time.Time) {
 	at := now.UnixNano()
 	for slot := range t.orders {
-		was, is := prev.orders[slot][0], t.orders[slot][0]
-		if was == is && len(back) == 0 {
+		oldOwner, newOwner := prev.orders[slot][0], t.orders[slot][0]
+		if oldOwner == newOwner && len(back) == 0 {
 			continue
 		}
-		if was == none && len(back) == 0 {
+		if oldOwner == none && len(back) == 0 {
 			continue // nobody owned it before
 		}
 		if at-t.changed[slot] >= int64(previousWindow) || t.changed[slot] == 0 {
 			t.previous[slot] = emptyOrder
 		}
-		t.previous[slot] = t.previousOrder(slot, was, is, back)
+		t.previous[slot] = t.previousOrder(slot, oldOwner, newOwner, back)
 		t.changed[slot] = at
 	}
 }
@@ -254,20 +254,20 @@
 // previousOrder returns the former owners of a slot: the last one first, then the
 // best of the earlier ones and of those that came back. The owner of now isn't
 // among them.
-func (t *table) previousOrder(slot int, was, is uint16, back []string) order {
+func (t *table) previousOrder(slot int, oldOwner, newOwner uint16, back []string) order {
 	rest := ranking{order: emptyOrder}
 	for _, i := range t.previous[slot] {
-		if i != none && i != was && i != is {
+		if i != none && i != oldOwner && i != newOwner {
 			t.insert(slot, &rest, i)
 		}
 	}
 	for _, name := range back {
-		if i := t.live[name]; i != was && i != is {
+		if i := t.live[name]; i != oldOwner && i != newOwner {
 			t.insert(slot, &rest, i)
 		}
 	}
-	if was == none || was == is {
+	if oldOwner == none || oldOwner == newOwner {
 		return rest.order
 	}
-	return order{was, rest.order[0], rest.order[1]}
+	return order{oldOwner, rest.order[0], rest.order[1]}
 }
--- a/bronzelink/conn.go
+++ b/bronzelink/conn.go
@@ -69,7 +69,7 @@
 		Listener: ln,
 		ready:    make(chan net.Conn),
 		done:     make(chan struct{}),
-		slots:    make(chan struct{}, setupsAtOnce),
+		slots:    make(chan struct{}, maxSetups),
 		mesh:     m,
 	}
 	go l.acceptAll(ctx)
--- a/bronzelink/handshake.go
+++ b/bronzelink/handshake.go
@@ -96,7 +96,7 @@
 	if err != nil {
 		return errors.Wrap(errDial, err.Error())
 	}
-	return m.greet(ctx, l, ws, conn, to.Name)
+	return m.clientHello(ctx, l, ws, conn, to.Name)
 }
 
 func (m *Mesh) dialRaw(ctx context.Context, address string) (net.Conn, error) {
@@ -117,8 +117,8 @@
 	return ws, err
 }
 
-// greet is the dialer's half of the hellos.
-func (m *Mesh) greet(ctx context.Context, l *link, ws *websocket.Conn, conn net.Conn, name string) error {
+// clientHello is the dialer's half of the hellos.
+func (m *Mesh) clientHello(ctx context.Context, l *link, ws *websocket.Conn, conn net.Conn, name string) error {
 	ws.SetReadLimit(MaxMessageBytes)
 	self := m.self()
 	if err := m.sendHello(ctx, ws, self); err != nil {
@@ -151,10 +151,10 @@
 	}
 	l := m.newLink()
 	l.raw = raw
-	err = m.welcome(l, ws, r.TLS) //nolint:contextcheck // a link outlives its request
+	err = m.serverHello(l, ws, r.TLS) //nolint:contextcheck // a link outlives its request
 	if err != nil {
 		m.count(setupReason(err))
-		_ = ws.Close(refusalStatus(err), refusal(err))
+		_ = ws.Close(closeCode(err), closeReason(err))
 		return
 	}
 	m.mu.Lock()
@@ -171,17 +171,17 @@
 	m.run(l) //nolint:contextcheck // a link outlives its request
 }
 
-// refusals are the close codes that tell a dialer why it was refused.
-var refusals = map[websocket.StatusCode]error{
+// closeCodes are the close codes that tell a dialer why it was refused.
+var closeCodes = map[websocket.StatusCode]error{
 	4001: ErrNameTaken,
 	4002: ErrVersion,
 	4003: ErrFleet,
 	4004: ErrCertificate,
 }
 
-// refusalStatus returns the close code for err.
-func refusalStatus(err error) websocket.StatusCode {
-	for code, known := range refusals {
+// closeCode returns the close code for err.
+func closeCode(err error) websocket.StatusCode {
+	for code, known := range closeCodes {
 		if errors.Is(err, known) {
 			return code
 		}
@@ -189,17 +189,17 @@
 	return websocket.StatusPolicyViolation
 }
 
-// maxRefusal is what fits into a WebSocket close frame.
-const maxRefusal = 120
+// maxCloseReason is what fits into a WebSocket close frame.
+const maxCloseReason = 120
 
-// refusal returns the reason that a refused peer is told.
-func refusal(err error) string {
+// closeReason returns the reason that a refused peer is told.
+func closeReason(err error) string {
 	s := err.Error()
-	return s[:min(len(s), maxRefusal)]
+	return s[:min(len(s), maxCloseReason)]
 }
 
-// welcome is the listener's half of the hellos.
-func (m *Mesh) welcome(l *link, ws *websocket.Conn, state *tls.ConnectionState) error {
+// serverHello is the listener's half of the hellos.
+func (m *Mesh) serverHello(l *link, ws *websocket.Conn, state *tls.ConnectionState) error {
 	ws.SetReadLimit(MaxMessageBytes)
 	ctx, cancel := context.WithTimeout(m.ctx, m.setupTimeout())
 	defer cancel()
@@ -222,7 +222,7 @@
 	l.version, err = commonVersion(m.versions(), hello.Versions)
 	l.conn, l.peer, l.dialer = ws, hello.Member, dialer
 	l.opened = time.Now()
-	l.used = l.opened
+	l.lastMessage = l.opened
 	return err
 }
 
@@ -236,7 +236,7 @@
 
 func readHello(ctx context.Context, ws *websocket.Conn) (*Hello, error) {
 	_, b, err := ws.Read(ctx)
-	if known := refusals[websocket.CloseStatus(err)]; known != nil {
+	if known := closeCodes[websocket.CloseStatus(err)]; known != nil {
 		return nil, errors.Wrap(known, "refused by the peer")
 	}
 	if err != nil {
--- a/bronzelink/link.go
+++ b/bronzelink/link.go
@@ -24,7 +24,7 @@
 	mesh  *Mesh
 	queue chan []byte
 	done  chan struct{} // closed when the link has ended
-	drain chan struct{} // closed when the writer is to empty the queue and stop
+	flush chan struct{} // closed when the writer is to empty the queue and stop
 
 	endOnce    sync.Once
 	finishOnce sync.Once
@@ -39,8 +39,8 @@
 	opened  time.Time
 	up      bool // registered; guarded by Mesh.mu
 
-	mu   sync.Mutex
-	used time.Time // the last message in either direction
+	mu          sync.Mutex
+	lastMessage time.Time // the last message in either direction
 }
 
 func (m *Mesh) newLink() *link {
@@ -48,7 +48,7 @@
 		mesh:  m,
 		queue: make(chan []byte, orDefault(m.QueueLength, DefaultQueueLength)),
 		done:  make(chan struct{}),
-		drain: make(chan struct{}),
+		flush: make(chan struct{}),
 	}
 }
 
@@ -86,7 +86,7 @@
 }
 
 // finish lets the writer send what is queued and end the link.
-func (l *link) finish() { l.finishOnce.Do(func() { close(l.drain) }) }
+func (l *link) finish() { l.finishOnce.Do(func() { close(l.flush) }) }
 
 // retire ends the link after messages on their way have arrived.
 func (l *link) retire() {
@@ -96,14 +96,14 @@
 // touch notes that a message was sent or received.
 func (l *link) touch() {
 	l.mu.Lock()
-	l.used = time.Now()
+	l.lastMessage = time.Now()
 	l.mu.Unlock()
 }
 
 func (l *link) lastUsed() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.used
+	return l.lastMessage
 }
 
 // run carries messages over l until it ends, and then closes it.
@@ -119,7 +119,7 @@
 	tasks.Go(func() { l.end(l.read(ctx)) })
 	tasks.Go(func() { l.end(l.watch(ctx)) })
 	<-l.done
-	current := m.forget(l.peer.Name, l)
+	current := m.removeLink(l.peer.Name, l)
 	m.close(l, current)
 	cancel()
 	tasks.Wait()
@@ -138,7 +138,7 @@
 	}
 	_ = l.conn.CloseNow()
 	if current && websocket.CloseStatus(l.err) != websocket.StatusNormalClosure {
-		m.lost(l.peer.Name, l.err)
+		m.reportLost(l.peer.Name, l.err)
 	}
 }
 
@@ -148,7 +148,7 @@
 		select {
 		case b := <-l.queue:
 			err = l.writeOne(ctx, b)
-		case <-l.drain:
+		case <-l.flush:
 			return l.writeRest(ctx)
 		case <-l.done:
 			return nil
--- a/bronzelink/mesh.go
+++ b/bronzelink/mesh.go
@@ -48,10 +48,10 @@
 )
 
 const (
-	// setupsAtOnce bounds the connections that are being set up at once in
+	// maxSetups bounds the connections that are being set up at once in
 	// each direction, so that a storm of them after a partition costs neither
 	// memory nor a burst of handshakes.
-	setupsAtOnce = 32
+	maxSetups = 32
 	// duplicateGrace is how long the worse of two links to one peer is still
 	// read from, so that messages on their way are not lost.
 	duplicateGrace = time.Second
@@ -122,7 +122,7 @@
 func (m *Mesh) init() {
 	m.once.Do(func() {
 		m.ctx, m.cancel = context.WithCancel(context.Background())
-		m.dials = pond.NewPool(setupsAtOnce, pond.WithContext(m.ctx))
+		m.dials = pond.NewPool(maxSetups, pond.WithContext(m.ctx))
 		m.links = map[string]*link{}
 		m.tls.files = [3]string{m.CertFile, m.KeyFile, m.CAFile}
 		m.tls.count = m.count
@@ -187,15 +187,15 @@
 	err := m.connect(l, to)
 	if err != nil {
 		m.count(setupReason(err))
-		if m.forget(key, l) {
-			m.lost(key, err)
+		if m.removeLink(key, l) {
+			m.reportLost(key, err)
 		}
 		l.end(err)
 		m.open.Done()
 		return
 	}
 	if key != l.peer.Name {
-		m.forget(key, l)
+		m.removeLink(key, l)
 	}
 	go func() {
 		defer m.open.Done()
@@ -285,19 +285,19 @@
 		}
 		return nil
 	}
-	kept, worse := l, old
+	kept, retired := l, old
 	if time.Since(old.opened) < duplicateGrace && old.dialer < l.dialer {
-		kept, worse = old, l
+		kept, retired = old, l
 	}
 	m.links[l.peer.Name] = kept
-	worse.moveTo(kept)
-	worse.retire()
+	retired.moveTo(kept)
+	retired.retire()
 	m.count(CountDuplicate)
 	return nil
 }
 
-// forget removes l from the links and reports whether it was there under key.
-func (m *Mesh) forget(key string, l *link) bool {
+// removeLink removes l from the links and reports whether it was there under key.
+func (m *Mesh) removeLink(key string, l *link) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.links[key] != l {
@@ -313,7 +313,7 @@
 	}
 }
 
-func (m *Mesh) lost(name string, err error) {
+func (m *Mesh) reportLost(name string, err error) {
 	if m.OnLost != nil {
 		m.OnLost(name, err)
 	}
--- a/bronzelink/tls.go
+++ b/bronzelink/tls.go
@@ -20,11 +20,11 @@
 	files [3]string // certificate, key, CA
 	count func(reason string)
 
-	mu      sync.Mutex
-	looked  time.Time
-	changes [3]time.Time
-	cert    *tls.Certificate
-	roots   *x509.CertPool
+	mu        sync.Mutex
+	lastCheck time.Time
+	modTimes  [3]time.Time
+	cert      *tls.Certificate
+	roots     *x509.CertPool
 }
 
 // enabled reports whether files are configured.
@@ -45,8 +45,8 @@
 func (c *certificates) current() (cert *tls.Certificate, roots *x509.CertPool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now := time.Now(); c.cert == nil || now.Sub(c.looked) >= reloadInterval {
-		c.looked = now
+	if now := time.Now(); c.cert == nil || now.Sub(c.lastCheck) >= reloadInterval {
+		c.lastCheck = now
 		err = c.reload()
 	}
 	if c.cert == nil {
@@ -69,7 +69,7 @@
 		}
 		changes[i] = info.ModTime()
 	}
-	if changes == c.changes {
+	if changes == c.modTimes {
 		return nil
 	}
 	cert, err := tls.LoadX509KeyPair(c.files[0], c.files[1])
@@ -84,7 +84,7 @@
 	if !roots.AppendCertsFromPEM(pem) {
 		return errors.Errorf("no certificate in %s", c.files[2])
 	}
-	c.cert, c.roots, c.changes = &cert, roots, changes
+	c.cert, c.roots, c.modTimes = &cert, roots, changes
 	return nil
 }
 
