--- a/bronzefleet/doc.go
+++ b/bronzefleet/doc.go
@@ -1,31 +1,34 @@
-// Package bronzefleet knows which balancers form the fleet, and which of them
-// owns a flow.
+// Package bronzefleet maintains the membership of the fleet of balancers and
+// determines which of them owns a flow.
 //
-// A View is an immutable picture of the fleet. Each flow hash falls into one
-// of Slots slots, and each slot has an order of nodes by rendezvous hashing:
+// A View is an immutable snapshot of the fleet. Each flow hash falls into one
+// of Slots slots, and rendezvous hashing gives each slot an order of nodes:
 // all nodes with the same members compute the same owner, and a node that
-// joins or goes moves only the slots that it owns. For a slot that moved, the
-// view names the nodes that owned it before.
-//
-// A Fleet makes the views. It is a membership protocol without shared state:
-//
-//   - Each node sends heartbeats to the next member on each of four rings by
-//     hash, two of the whole fleet and two of its availability zone, and is
-//     monitored by the previous ones. These are its neighbours; their number
-//     doesn't grow with the fleet.
-//   - A member that doesn't answer is asked for by others. If nobody reaches
-//     it, it is suspect, which is spread as news; it refutes that with a higher
-//     incarnation, or is dead after a while. A suspect goes on owning flows.
-//   - News goes to all neighbours once. What is lost on the way shows in the
-//     digests that heartbeats carry, and the parts of the lists that differ
-//     are exchanged.
-//   - A dead member is tried again now and then, so that the sides of a
+// joins or leaves changes the owner of its own slots only. For a slot whose
+// owner changed, the view names the previous owners.
+//
+// A Fleet makes the views. It runs a gossip protocol in the manner of SWIM,
+// without shared state:
+//
+//   - Each node sends heartbeats to the next member on each of four hash
+//     rings, two of the whole fleet and two of its availability zone, and is
+//     monitored by the previous member on each. These are its neighbours;
+//     their number doesn't grow with the fleet.
+//   - If a member doesn't answer, its monitor asks other members to check it.
+//     If none of them reaches it, it becomes suspect. It refutes the suspicion
+//     with a higher incarnation, or is declared dead after a timeout. A
+//     suspect keeps owning its flows.
+//   - Updates about members are sent once to each neighbour, or along the
+//     first ring only while there are many. Lost updates show in the digests
+//     that heartbeats carry, and the parts of the member lists that differ
+//     are then exchanged.
+//   - Dead members are contacted again at intervals, so that the sides of a
 //     partition find each other when it heals.
-//   - A process that finds by the clock that it was paused for longer than its
-//     lease is fenced until a peer has told it what it missed.
+//   - A process that detects by the clock that it was paused for longer than
+//     its lease is fenced until a peer has told it what it missed.
 //
-// Beside that a Fleet spreads a small Load of each node to all others, inside a
-// budget of bytes.
+// A Fleet also spreads the Load of each node to all others, within a budget of
+// bytes per second.
 //
 // # Usage
 //
@@ -38,7 +41,7 @@
 //	f.Join(seeds)
 //	err := f.Run(ctx)
 //
-// Or build a view from members and ask it for the owner of a flow:
+// Or build a view from a list of members and look up the owner of a flow:
 //
 //	v := bronzefleet.NewView("riga-a-1", members, nil, time.Now())
 //	owner := v.Owner(key.Hash())
--- a/bronzefleet/fleet.go
+++ b/bronzefleet/fleet.go
@@ -12,13 +12,13 @@
 	"bronzeusher.example/bronzeusher/bronzelink"
 )
 
-// Errors that end Run.
+// Errors returned by Run.
 var (
-	// ErrNameTaken tells that another process of this name was alive for all of
-	// NameWait.
+	// ErrNameTaken means that another process with this name was alive
+	// throughout NameWait.
 	ErrNameTaken = errors.New("another process uses this name")
-	// ErrReplaced tells that a newer process has taken the name over, after
-	// the fleet had given this one up.
+	// ErrReplaced means that a newer process has taken over the name, after
+	// the fleet had declared this one dead.
 	ErrReplaced = errors.New("a newer process has replaced this one")
 )
 
@@ -35,56 +35,61 @@
 
 const (
 	largeFleet = 50
-	// ticksPerInterval is how often timers are looked at in one interval.
+	// ticksPerInterval is the number of times that timers are checked in one
+	// heartbeat interval.
 	ticksPerInterval = 4
-	// leaseIntervals is how long a view may be trusted after a round. It is
-	// less than what others need to declare this node dead (suspectIntervals
-	// and deadIntervals), so that a paused owner has stopped placing before
-	// anybody else places in its slots.
+	// leaseIntervals is how long a view may be trusted after a tick, in
+	// heartbeat intervals. It is less than others take to declare this node
+	// dead (suspectIntervals and deadIntervals), so that a paused owner has
+	// stopped placing flows before another node places any in its slots.
 	leaseIntervals = 3
-	// fenceIntervals bounds the wait for an answer after a pause.
+	// fenceIntervals bounds the wait for an answer after a pause, in heartbeat
+	// intervals.
 	fenceIntervals = 6
 )
 
-// Fleet keeps one node's membership: it says what the node is, watches some
-// of the others, and makes a View of what it learns. It opens no socket.
-// Messages go out through Send and come in through Handle. Its exported
-// fields must not change after the first call of a method; zero values mean
-// the defaults, and nil functions are not called.
+// Fleet maintains the membership of one node: it announces the node, monitors
+// some of the other members, and builds a View from what it learns. It opens
+// no socket: messages go out through Send and come in through Handle. Its
+// exported fields must not change after the first call of a method; zero
+// values mean the defaults, and nil functions are not called.
 type Fleet struct {
 	// Self is this node. Incarnation is set from the clock if it is 0.
 	Self bronzelink.Member
 	// Interval is the time between heartbeats. By default it is
 	// DefaultInterval, or DefaultLargeInterval in a large fleet.
 	Interval time.Duration
-	// JoinWait bounds the wait for a first peer.
+	// JoinWait bounds the wait for a peer while joining.
 	JoinWait time.Duration
-	// NameWait bounds the wait for the name of a process that still answers.
+	// NameWait bounds the wait for this node's name while another process
+	// uses it.
 	NameWait time.Duration
-	// PartitionTimeout is how long a member that died without leaving may be thought
-	// alive on the other side of a partition, and ListedPartitionTimeout is the same
-	// while the list of VMs still holds it.
+	// PartitionTimeout is how long a member that died without leaving counts
+	// as possibly alive on the other side of a partition. While the list of
+	// VMs contains the member, the longer of it and ListedPartitionTimeout
+	// applies.
 	PartitionTimeout, ListedPartitionTimeout time.Duration
 	// LoadBytesPerSecond bounds the encoded bytes of Load messages sent.
 	LoadBytesPerSecond int
 
 	// Send sends m to a member, of which only the ControlAddress may be known.
-	// It must not wait.
+	// It must not block.
 	Send func(to bronzelink.Member, m *bronzelink.Message) error
-	// OnView is called with each new view, in order of Version. It must not
-	// call the Fleet, but for View and Lease.
+	// OnView is called with new views, in order of Version. It must not call
+	// methods of the Fleet other than View and Lease.
 	OnView func(v *View)
 	// OnLoad is called with each Load that is newer than the last one of its
 	// Origin.
 	OnLoad func(l *bronzelink.Load)
-	// OnBehind is called with each sign that peer has a higher configuration
-	// revision, so with several until SetRevision has caught up.
+	// OnBehind is called for each message which shows that peer has a higher
+	// configuration revision, so possibly several times until SetRevision is
+	// called with that revision.
 	OnBehind func(peer bronzelink.Member)
 	// OnRecordsRequest and OnRecords are called with these messages.
 	OnRecordsRequest func(from string, r *bronzelink.RecordsRequest)
 	OnRecords        func(from string, r *bronzelink.Records)
 	// Count is called with the reason of each refusal and each decision that
-	// an operator may want to see. It must not call the Fleet.
+	// an operator may want to see. It must not call methods of the Fleet.
 	Count func(reason string)
 	// Sent is called with the encoded size of each message sent.
 	Sent func(n int)
@@ -95,30 +100,30 @@
 	lease            atomic.Int64 // Unix nanoseconds
 	peers            atomic.Pointer[peers]
 	viewMu           sync.Mutex   // orders the calls of OnView
-	notifiedVersion  uint64       // the last Version that OnView saw, guarded by viewMu
-	load             loadSpreader // has a lock of its own
+	notifiedVersion  uint64       // the last Version passed to OnView; guarded by viewMu
+	load             loadSpreader // has its own lock
 	mu               sync.Mutex   // guards what follows
 	started          bool
 	self             bronzelink.Member
 	phase            phase
 	entries          map[string]*entry
-	suspectOrDead    map[string]*entry // those that are suspect or dead
+	suspectOrDead    map[string]*entry // the entries that are suspect or dead
 	vms              map[string]bronzeconf.VM
 	vmsAt            time.Time
 	seeds            []bronzelink.Member
-	dirty            bool   // the view has to be built again
-	takenOver        bool   // others may have owned this node's slots meanwhile
-	deathIncarnation uint64 // the highest incarnation that others held dead
+	dirty            bool   // the view must be rebuilt
+	takenOver        bool   // others may have owned this node's slots since the last view
+	deathIncarnation uint64 // the highest incarnation that others declared dead
 	fenced           bool
 	partitioned      bool
 	catchUp          catchUp
 	digests          digests
 	updates          map[string]struct{}
-	updatesSent      int       // news passed on since the last heartbeat
-	lastSync         time.Time // when a comparison of lists was last asked for
+	updatesSent      int       // since the last heartbeats
+	lastSync         time.Time // when digests last triggered an exchange
 	watches          map[string]*watch
 	indirectChecks   []indirectCheck
-	leaveUnacked     map[string]struct{} // neighbours that don't know of the leave
+	leaveUnacked     map[string]struct{} // neighbours that have not acknowledged the leave
 	leaveAcked       chan struct{}
 	failure          error
 
@@ -134,7 +139,7 @@
 	callbacks []func()
 }
 
-// phase is how far this node has come in its life.
+// phase is the stage of this node's membership.
 type phase uint8
 
 const (
@@ -144,17 +149,17 @@
 	left
 )
 
-// outgoing is a message that is sent after mu is released.
+// outgoing is a queued message, which is sent after mu is released.
 type outgoing struct {
 	to bronzelink.Member
 	m  *bronzelink.Message
 }
 
-// Run keeps the membership until ctx is done, and then tells the peers that
-// this node has left, if Leave was called before. Its errors are ErrNameTaken
+// Run maintains the membership until ctx is done. If Leave was called before,
+// it then tells the peers that this node has left. Its errors are ErrNameTaken
 // and ErrReplaced.
 func (f *Fleet) Run(ctx context.Context) (err error) {
-	defer annotate(&err, "keeping the membership of "+f.Self.Name)
+	defer annotate(&err, "maintaining the membership of "+f.Self.Name)
 	f.do(func(time.Time) {})
 	ticker := time.NewTicker(orDefault(f.Interval, DefaultInterval) / ticksPerInterval)
 	defer ticker.Stop()
@@ -172,7 +177,7 @@
 	}
 }
 
-// View returns the view of now. It is never nil.
+// View returns the current view. It is never nil.
 func (f *Fleet) View() *View {
 	if v := f.view.Load(); v != nil {
 		return v
@@ -181,20 +186,21 @@
 	return f.view.Load()
 }
 
-// Lease returns the time until which the view may be trusted. It passes while
-// the process is paused, so whoever looks at it before Run does sees the pause
-// too: a paused node would otherwise place flows that others own by now.
+// Lease returns the time until which the view may be trusted. The lease expires
+// during a pause of the process, so a caller that checks it detects the pause
+// even before Run does. Otherwise a node that was paused would place flows that
+// others own by now.
 func (f *Fleet) Lease() time.Time { return time.Unix(0, f.lease.Load()) }
 
-// Join adds members, of which only the ControlAddress need be known, to those
-// that are asked for the list of members.
+// Join adds seeds to the members that are asked for the list of members. Only
+// the ControlAddress of a seed needs to be known.
 func (f *Fleet) Join(seeds []bronzelink.Member) {
 	f.do(func(time.Time) { f.seeds = append(f.seeds, seeds...) })
 }
 
-// SetVMs hands over the platform's list of the VMs of balancers. It names
-// members to contact, and confirms that dead ones are gone. It never removes
-// a member that answers.
+// SetVMs sets the platform's list of the balancers' VMs. The list names members
+// to contact and confirms that dead ones are gone. It never removes a member
+// that answers.
 func (f *Fleet) SetVMs(vms []bronzeconf.VM) {
 	f.do(func(now time.Time) {
 		f.vms = make(map[string]bronzeconf.VM, len(vms))
@@ -205,8 +211,8 @@
 	})
 }
 
-// SetRevision tells the peers that the configuration revision is in force
-// here. It never goes back.
+// SetRevision tells the peers that the configuration revision is in force on
+// this node. A revision that isn't higher than the last one is ignored.
 func (f *Fleet) SetRevision(revision uint64) {
 	f.do(func(now time.Time) {
 		if revision <= f.self.Revision {
@@ -222,8 +228,8 @@
 }
 
 // Leave tells the peers that this node is leaving: it owns no flows from then
-// on, and Run tells at its end that it has left. It returns when all
-// neighbours have answered, or with the error of ctx.
+// on, and when Run ends it announces that the node has left. Leave returns when
+// all neighbours have acknowledged it, or with the error of ctx.
 func (f *Fleet) Leave(ctx context.Context) (err error) {
 	defer annotate(&err, "leaving the fleet")
 	var told chan struct{}
@@ -236,7 +242,8 @@
 	}
 }
 
-// announceLeave returns a channel that is closed when the neighbours know.
+// announceLeave tells the neighbours that this node is leaving, and returns a
+// channel that is closed when all of them have acknowledged it.
 func (f *Fleet) announceLeave() chan struct{} {
 	if f.phase == joined {
 		f.phase = leaving
@@ -249,11 +256,11 @@
 		for _, to := range f.neighbours() {
 			f.leaveUnacked[to.Name] = struct{}{}
 		}
-		f.sendHeartbeats(f.neighbours()) // answered after the news, on the same links
+		f.sendHeartbeats(f.neighbours()) // sent after the update on the same links, so their answers acknowledge it
 		f.ackLeave("")
 	}
 	if f.phase == joining {
-		f.phase = left // nobody knows of this node yet
+		f.phase = left // not announced to any member yet
 	}
 	if f.leaveAcked == nil {
 		f.leaveAcked = make(chan struct{})
@@ -262,7 +269,8 @@
 	return f.leaveAcked
 }
 
-// ackLeave notes that the neighbour of that name knows that this node leaves.
+// ackLeave records that the named neighbour knows that this node is leaving. With
+// an empty name it only checks whether all do.
 func (f *Fleet) ackLeave(name string) {
 	if f.leaveUnacked == nil {
 		return
@@ -274,8 +282,8 @@
 	}
 }
 
-// announceLeft tells the peers that this node is gone, so that they need not find
-// out.
+// announceLeft tells the peers that this node has left, so that they don't
+// have to detect it.
 func (f *Fleet) announceLeft(time.Time) {
 	if f.phase != leaving {
 		return
@@ -285,7 +293,7 @@
 	f.queueUpdate(f.self.Name)
 }
 
-// Handle takes a message from the peer of that name.
+// Handle processes a message from the named peer.
 func (f *Fleet) Handle(from string, m *bronzelink.Message) {
 	switch {
 	case m.Load != nil:
@@ -299,7 +307,7 @@
 	}
 }
 
-// handle takes a message about membership.
+// handle processes a message about membership.
 func (f *Fleet) handle(from string, m *bronzelink.Message, now time.Time) {
 	if e := f.entries[from]; e != nil {
 		e.lastHeard = now
@@ -318,8 +326,9 @@
 	}
 }
 
-// LinkLost tells that the link to the named peer failed, which is a reason to
-// look after it at once.
+// LinkLost reports that the link to the named peer failed. If the peer is
+// monitored by this node, it is checked at once. If err is
+// bronzelink.ErrNameTaken, another process uses this node's name.
 func (f *Fleet) LinkLost(name string, err error) {
 	f.do(func(now time.Time) {
 		if errors.Is(err, bronzelink.ErrNameTaken) {
@@ -333,8 +342,8 @@
 	})
 }
 
-// Admit returns bronzelink.ErrNameTaken if another process of the peer's name
-// is alive. It fits Mesh.Accept.
+// Admit returns bronzelink.ErrNameTaken if another process with the peer's name
+// is alive. It can be used as Mesh.Accept.
 func (f *Fleet) Admit(peer bronzelink.Member) (err error) {
 	f.do(func(time.Time) {
 		e := f.entries[peer.Name]
@@ -346,7 +355,8 @@
 	return err
 }
 
-// do runs a step under the lock, and then what it left to be done without.
+// do runs step under the lock. After releasing it, do makes the callbacks and
+// sends the messages that step queued.
 func (f *Fleet) do(step func(now time.Time)) {
 	f.mu.Lock()
 	now := time.Now()
@@ -367,7 +377,7 @@
 	}
 }
 
-// init prepares the zero value.
+// init initializes the zero value on first use.
 func (f *Fleet) init(now time.Time) {
 	if f.started {
 		return
@@ -389,7 +399,7 @@
 	f.dirty = true
 }
 
-// tick does what is due.
+// tick does the periodic work that is due.
 func (f *Fleet) tick(now time.Time) {
 	f.detectPause(now)
 	if f.phase == joining {
@@ -423,7 +433,7 @@
 	}
 }
 
-// interval returns the time between heartbeats at today's size.
+// interval returns the time between heartbeats at the current fleet size.
 func (f *Fleet) interval() time.Duration {
 	if f.Interval <= 0 && len(f.entries) >= largeFleet {
 		return DefaultLargeInterval
@@ -431,7 +441,7 @@
 	return orDefault(f.Interval, DefaultInterval)
 }
 
-// announced reports whether the others know of this node.
+// announced reports whether this node has announced itself to the others.
 func (f *Fleet) announced() bool { return f.phase == joined || f.phase == leaving }
 
 func (f *Fleet) nextSequence() uint64 {
