--- a/bronzefleet/detect.go
+++ b/bronzefleet/detect.go
@@ -8,21 +8,23 @@
 )
 
 const (
-	// suspectIntervals is the silence of a monitored member after which other
-	// members are asked whether they reach it.
+	// suspectIntervals is the time without an answer from a monitored member
+	// after which other members are asked to check it, in heartbeat intervals.
 	suspectIntervals = 3
-	// checkIntervals bounds the wait for their answers.
+	// checkIntervals bounds the wait for their answers, in heartbeat intervals.
 	checkIntervals = 1
-	// deadIntervals is how long a suspect has to refute the suspicion.
+	// deadIntervals is how long a suspect has to refute the suspicion, in
+	// heartbeat intervals.
 	deadIntervals = 4
-	// checkerCount is how many members are asked about a silent one.
+	// checkerCount is the number of members that are asked about a silent one.
 	checkerCount = 3
-	// maxUnansweredRounds is how many rounds without any answer of a helper a node
-	// needs to suspect a member by itself: it may be alone in its partition.
+	// maxUnansweredRounds is the number of times that a check is repeated which
+	// no checker answered, before this node suspects the member by itself: it
+	// may be alone on its side of a partition.
 	maxUnansweredRounds = 2
 )
 
-// watch is the monitoring of one target.
+// watch is the state of the monitoring of one target.
 type watch struct {
 	acked            time.Time // the last answer
 	checking         bool
@@ -30,10 +32,10 @@
 	until            time.Time
 	unreached        int
 	asked            int
-	unansweredRounds int // in a row without an answer of a helper
+	unansweredRounds int // in a row without an answer from a checker
 }
 
-// indirectCheck is a check that this node does for another.
+// indirectCheck is a check of target that another member asked this node for.
 type indirectCheck struct {
 	asker    string
 	sequence uint64
@@ -43,7 +45,7 @@
 
 func (f *Fleet) deadAfter() time.Duration { return deadIntervals * f.interval() }
 
-// setWatches makes the targets those that are monitored.
+// setWatches replaces the monitored members by targets.
 func (f *Fleet) setWatches(targets []bronzelink.Member) {
 	now := time.Now()
 	watches := make(map[string]*watch, len(targets))
@@ -55,7 +57,8 @@
 		}
 		watches[name] = &watch{acked: now}
 		if len(targets) > targetCount && f.announced() {
-			// One next to a suspect: it is asked now, and doubted sooner.
+			// There are more targets than targetCount only because some are
+			// suspect: the new one gets a heartbeat now and less time to answer.
 			watches[name].acked = now.Add(-(suspectIntervals - 1) * f.interval())
 			f.sendHeartbeats(targets[i : i+1])
 		}
@@ -78,7 +81,7 @@
 	}}
 }
 
-// compact returns m without what doesn't change in the life of a process.
+// compact returns m without the fields that don't change while a process runs.
 func compact(m bronzelink.Member) bronzelink.Member {
 	return bronzelink.Member{Name: m.Name, Incarnation: m.Incarnation, Status: m.Status, Revision: m.Revision}
 }
@@ -103,9 +106,9 @@
 	f.observe(e, h.Digest, h.Member.Revision, now)
 }
 
-// onUnknownHeartbeat answers a heartbeat of a process that this node doesn't know: an
-// earlier one under a known name is told of the later, and a new one is asked
-// for the missing facts.
+// onUnknownHeartbeat answers a heartbeat from a process that this node doesn't
+// know. If a later process with its name is known, the sender is told of that;
+// otherwise it is asked for its list, which has the fields that a heartbeat lacks.
 func (f *Fleet) onUnknownHeartbeat(from string, e *entry, h *bronzelink.Heartbeat) {
 	if e != nil && processStart(h.Member.Incarnation) < processStart(e.m.Incarnation) {
 		f.sendTo(from, membersMessage(e.m))
@@ -125,7 +128,7 @@
 	}
 }
 
-// observe takes what a heartbeat or its answer tells beside its sender's life.
+// observe processes the digest and revision in a heartbeat or its answer.
 func (f *Fleet) observe(e *entry, digest, revision uint64, now time.Time) {
 	e.m.Revision = max(e.m.Revision, revision)
 	if revision > f.self.Revision {
@@ -144,12 +147,12 @@
 	}
 }
 
-// detectPause compares the clock with the last round. A round that began late
-// means that this process was slow: messages from others are still waiting to
-// be read, so all deadlines move by as much and nobody is accused. After a
-// pause longer than the lease, others may own this node's flows: it stops
-// trusting its view until a peer has told it what happened. The wall clock is
-// looked at too, because the other one may stand still while a VM is frozen.
+// detectPause compares the clock with the last tick. A late tick means that
+// this process was slow: messages from others may still be waiting to be read,
+// so all deadlines are extended by the elapsed time and nobody is suspected
+// wrongly. After a pause longer than the lease, others may own this node's
+// flows: it is fenced until a peer has told it what it missed. The wall clock
+// is compared too, because the monotonic clock may stop while a VM is frozen.
 func (f *Fleet) detectPause(now time.Time) {
 	elapsed := max(now.Sub(f.lastTick), now.Round(0).Sub(f.lastTick.Round(0)))
 	f.lastTick = now
@@ -164,15 +167,15 @@
 	}
 }
 
-// checkLease notices a pause before a message that was waiting is handled: its
-// news may be as old as the pause.
+// checkLease detects a pause before a queued message is handled: what it says
+// may be as old as the pause.
 func (f *Fleet) checkLease(now time.Time) {
 	if f.announced() && now.Sub(f.lastTick) > leaseIntervals*f.interval() {
 		f.detectPause(now)
 	}
 }
 
-// extendDeadlines moves the deadlines on others by d.
+// extendDeadlines extends the deadlines of all other members by d.
 func (f *Fleet) extendDeadlines(d time.Duration) {
 	for _, w := range f.watches {
 		w.acked = w.acked.Add(d)
@@ -183,7 +186,7 @@
 	}
 }
 
-// detectFailures looks for members that died, if this node has joined.
+// detectFailures checks for failed members, once this node has joined.
 func (f *Fleet) detectFailures(now time.Time) {
 	if f.announced() {
 		f.monitor(now)
@@ -191,7 +194,7 @@
 	}
 }
 
-// monitor looks after the targets.
+// monitor starts and concludes the checks of silent targets.
 func (f *Fleet) monitor(now time.Time) {
 	for name, w := range f.watches {
 		switch {
@@ -203,8 +206,8 @@
 	}
 }
 
-// startCheck asks others whether they reach a silent target, so that a broken
-// path from this node alone kills nobody.
+// startCheck asks other members whether they reach a silent target, so that a
+// broken path from this node alone doesn't get the target declared dead.
 func (f *Fleet) startCheck(name string, w *watch, now time.Time) {
 	e := f.entries[name]
 	if e == nil || e.m.Status == bronzelink.Suspect || !e.live() {
@@ -220,9 +223,9 @@
 	}
 }
 
-// checkers returns the members to ask about target: neighbours that are not
-// suspect, those in other zones than this node's first, since a partition
-// between zones then shows as such.
+// checkers returns the members to ask about target: neighbours that are Alive,
+// mostly from zones other than this node's, so that a partition between zones
+// is recognized as such.
 func (f *Fleet) checkers(target bronzelink.Member) []bronzelink.Member {
 	var local, remote []bronzelink.Member
 	for _, m := range f.neighbours() {
@@ -235,7 +238,7 @@
 			remote = append(remote, m)
 		}
 	}
-	// One of the target's own zone, if there is one, is likely to reach it.
+	// A checker in the target's own zone is the most likely to reach it.
 	slices.SortStableFunc(remote, func(a, b bronzelink.Member) int {
 		return zoneMatch(b, target) - zoneMatch(a, target)
 	})
@@ -270,7 +273,7 @@
 	return &bronzelink.Message{CheckAck: &bronzelink.CheckAck{Sequence: sequence, Target: target, Reached: reached}}
 }
 
-// answerChecks answers those that asked about target.
+// answerChecks answers the members that asked about target.
 func (f *Fleet) answerChecks(target string, reached bool) {
 	f.indirectChecks = slices.DeleteFunc(f.indirectChecks, func(h indirectCheck) bool {
 		if h.target != target {
@@ -281,10 +284,10 @@
 	})
 }
 
-// failChecks answers those that asked about a member whose link failed.
+// failChecks answers the members that asked about a member whose link failed.
 func (f *Fleet) failChecks(target string) { f.answerChecks(target, false) }
 
-// expireChecks answers those that asked about members that stay silent.
+// expireChecks answers the members that asked about members that stay silent.
 func (f *Fleet) expireChecks(now time.Time) {
 	f.indirectChecks = slices.DeleteFunc(f.indirectChecks, func(h indirectCheck) bool {
 		if now.Before(h.until) {
@@ -311,9 +314,9 @@
 	}
 }
 
-// concludeCheck suspects a target that no helper reached. If no helper answered
-// either, this node is alone or its own links are broken, and it waits for
-// another round before it suspects by itself.
+// concludeCheck suspects a target that no checker reached. If no checker answered
+// either, this node may be isolated or its own links may be broken, so it first
+// repeats the check up to maxUnansweredRounds times.
 func (f *Fleet) concludeCheck(name string, w *watch, now time.Time) {
 	w.checking = false
 	e := f.entries[name]
@@ -332,14 +335,14 @@
 	claim.Status = bronzelink.Suspect
 	claim.Accuser = f.self.Name
 	if e.m.Status == bronzelink.Leaving {
-		claim.Status = bronzelink.Dead // it owns nothing, so a mistake moves nothing
+		claim.Status = bronzelink.Dead // it owns no slots, so a wrong claim moves no flows
 	}
 	f.accept(e, claim, now)
 	e.refuteDeadline = now.Add(f.deadAfter())
 }
 
-// expireSuspects declares those dead that didn't refute in time, or that the
-// platform says are gone.
+// expireSuspects declares the suspects dead that didn't refute in time, or that
+// the platform no longer lists.
 func (f *Fleet) expireSuspects(now time.Time) {
 	for _, e := range f.suspectOrDead {
 		if e.m.Status != bronzelink.Suspect {
@@ -349,7 +352,7 @@
 			continue
 		}
 		if now.Sub(e.lastHeard) < f.interval() {
-			e.refuteDeadline = now.Add(f.interval()) // it answers; its refutation is on its way
+			e.refuteDeadline = now.Add(f.interval()) // it answers, so its refutation is in flight
 			continue
 		}
 		f.count(CountDied)
--- a/bronzefleet/member.go
+++ b/bronzefleet/member.go
@@ -7,45 +7,47 @@
 	"bronzeusher.example/bronzeusher/bronzelink"
 )
 
-// startShift separates the two parts of an Incarnation: the upper one is when
-// the process started, the lower one counts its refutations.
+// startShift separates the two parts of an Incarnation: the upper one is the
+// start of the process in Unix milliseconds, the lower one counts its
+// refutations.
 const startShift = 16
 
-// processStart returns the part of an incarnation that is the same for all of one
-// process.
+// processStart returns the part of an incarnation that stays the same
+// throughout one process.
 func processStart(incarnation uint64) uint64 { return incarnation >> startShift }
 
-// The times for which members that are gone are remembered: longer than news
-// of them can be on its way, and for dead ones as long as a partition may last.
+// The times for which members that are gone are remembered: longer than an
+// update about them can be in flight, and for dead ones as long as a partition
+// may last.
 const (
 	forgetLeft = 2 * time.Minute
 	forgetDead = time.Hour
 )
 
-// entry is what this node knows of another member.
+// entry is the state of another member as this node knows it.
 type entry struct {
 	m                bronzelink.Member
-	statusSince      time.Time // when Status became what it is
-	lastHeard        time.Time // the last message from the member itself
-	refuteDeadline   time.Time // when a suspect is declared dead
-	returnedAt       time.Time // when it was last found alive after it was dead
+	statusSince      time.Time // when the status last changed
+	lastHeard        time.Time // the last message from the member
+	refuteDeadline   time.Time // until when a suspect must refute
+	returnedAt       time.Time // when it was last alive again after it was dead
 	announcedLeave   bool
-	digestMismatches int // heartbeats in a row with another digest
+	digestMismatches int // heartbeats in a row with a different digest
 }
 
-// live reports whether the member runs as far as this node knows.
+// live reports whether the member is neither dead nor left.
 func (e *entry) live() bool { return e.m.Status < bronzelink.Dead }
 
-// nameConflict reports whether peer is another process under the name of the live
-// member e. A process that restarted at the same address is not: the old one
-// can't be there any more.
+// nameConflict reports whether peer is another process under the name of the
+// live member e. A process that restarted at the same address is no conflict:
+// the old one can't be running there any more.
 func (f *Fleet) nameConflict(e *entry, peer bronzelink.Member) bool {
 	return e.live() && processStart(peer.Incarnation) != processStart(e.m.Incarnation) &&
 		peer.ControlAddress != e.m.ControlAddress
 }
 
-// apply takes a claim about a member, which came from the member from. It
-// reports whether this node knows better.
+// apply processes a claim about a member, received from the member from. It
+// reports whether this node has a state that the sender should learn instead.
 func (f *Fleet) apply(claim bronzelink.Member, from string, now time.Time) (outdated bool) {
 	if claim.Name == f.self.Name {
 		f.applySelf(claim, from, now)
@@ -72,14 +74,14 @@
 	}
 }
 
-// addMember makes an entry for a member that was not known.
+// addMember adds an entry for a member that was not known.
 func (f *Fleet) addMember(claim bronzelink.Member, now time.Time) {
 	e := &entry{lastHeard: now}
 	f.entries[claim.Name] = e
 	f.accept(e, claim, now)
 }
 
-// applySameProcess takes a claim about the process that e knows.
+// applySameProcess processes a claim about the process that e describes.
 func (f *Fleet) applySameProcess(e *entry, claim bronzelink.Member, now time.Time) (outdated bool) {
 	if claim.Incarnation < e.m.Incarnation || e.m.Status == bronzelink.Left {
 		return claim.Status < e.m.Status || claim.Incarnation < e.m.Incarnation
@@ -104,7 +106,7 @@
 	return false
 }
 
-// applyAsSuspicion takes a claim of death as a suspicion.
+// applyAsSuspicion processes an unconfirmed claim of death as a suspicion.
 func (f *Fleet) applyAsSuspicion(e *entry, claim bronzelink.Member, now time.Time) {
 	f.count(CountDeathUnconfirmed)
 	if e.m.Status == bronzelink.Suspect && claim.Incarnation == e.m.Incarnation {
@@ -114,20 +116,21 @@
 	f.accept(e, claim, now)
 }
 
-// confirmsDeath reports whether e has been suspect here for long enough to believe
-// a credible claim that it is dead. The other side of a partition that heals
-// holds each member of this side dead; believing it would move every flow twice.
-// As a suspicion it is refuted by the member.
+// confirmsDeath reports whether e has been suspect here for long enough to
+// accept a credible claim that it is dead. When a partition heals, the other
+// side holds each member of this side dead; accepting that would move every
+// flow twice. Taken as a suspicion, the claim is refuted by the member.
 func (f *Fleet) confirmsDeath(e *entry, claim bronzelink.Member, now time.Time) bool {
 	return e.m.Status == bronzelink.Suspect && now.Sub(e.statusSince) >= f.deadAfter()/2 && f.credible(claim, now)
 }
 
-// distrustAfterReturn is how long the claims of a member that came back are in doubt.
+// distrustAfterReturn is how long the claims of a member that was dead and came
+// back are not credible.
 const distrustAfterReturn = time.Minute
 
-// credible reports whether the member that made a claim was on this side all
-// the time: one that was dead here until a moment ago couldn't reach others
-// that this node could.
+// credible reports whether the accuser in a claim is this node, or is live here
+// and hasn't come back from the dead within distrustAfterReturn: a member that
+// was dead here until recently couldn't reach members that this node could.
 func (f *Fleet) credible(claim bronzelink.Member, now time.Time) bool {
 	if claim.Accuser == f.self.Name {
 		return true
@@ -136,16 +139,16 @@
 	return e != nil && e.live() && (e.returnedAt.IsZero() || now.Sub(e.returnedAt) >= distrustAfterReturn)
 }
 
-// forwardToSubject passes a claim on to the member that it is about, so that it can
-// refute it. This node has just heard from it, and doesn't believe the claim.
-// It doesn't say so to the claimant, who at the same incarnation knows better
-// in turn: the two would answer each other as fast as the network carries it,
-// until the subject, which may be dead, speaks up.
+// forwardToSubject passes a claim on to the member that it is about, so that
+// the member can refute it. This node has just heard from the member and rejects
+// the claim. It doesn't contradict the claimant: at the same incarnation each of
+// the two would reject the other's state and answer it at once, in an endless
+// loop until the member, which may be dead, refutes the claim.
 func (f *Fleet) forwardToSubject(claim bronzelink.Member) {
 	f.sendTo(claim.Name, membersMessage(claim))
 }
 
-// accept makes claim what this node knows, and spreads it.
+// accept makes claim the state of e and queues it as an update for the others.
 func (f *Fleet) accept(e *entry, claim bronzelink.Member, now time.Time) {
 	if claim.ControlAddress == "" {
 		claim.AvailabilityZone, claim.Region = e.m.AvailabilityZone, e.m.Region
@@ -176,9 +179,11 @@
 	f.queueUpdate(claim.Name)
 }
 
-// refutationTimeout returns how long this node waits for the refutation of a claim of
-// another. A credible accuser speaks first. After a partition there are many
-// claims of others at once, so they get more time.
+// refutationTimeout returns how long this node waits for the refutation of a
+// suspicion that another member raised. It is longer than the accuser's own
+// timeout, so that a credible accuser declares the death first. After a
+// partition there are many claims at once from accusers that aren't credible,
+// so the subjects of these get more time.
 func (f *Fleet) refutationTimeout(claim bronzelink.Member, now time.Time) time.Duration {
 	if f.credible(claim, now) {
 		return 2 * f.deadAfter()
@@ -186,7 +191,7 @@
 	return 4 * f.deadAfter()
 }
 
-// applySelf takes a claim about this node.
+// applySelf processes a claim about this node.
 func (f *Fleet) applySelf(claim bronzelink.Member, from string, now time.Time) {
 	f.recordOwnDeath(claim)
 	alive := claim.Status < bronzelink.Dead
@@ -198,7 +203,7 @@
 		return
 	}
 	if processStart(claim.Incarnation) != processStart(f.self.Incarnation) {
-		// An earlier process of this name had a clock that ran ahead.
+		// An earlier process with this name had a clock that was ahead.
 		f.self.Incarnation = claim.Incarnation
 	}
 	if f.phase == left {
@@ -214,9 +219,9 @@
 	f.sendTo(from, membersMessage(f.self))
 }
 
-// recordOwnDeath notes that others held this process dead, and so owned its slots,
-// once for each incarnation: the claim may come after the refutation of a
-// suspicion that led to it.
+// recordOwnDeath records that others held this process dead, and so owned its
+// slots, once for each incarnation: the claim may arrive after this node has
+// refuted the suspicion that led to it.
 func (f *Fleet) recordOwnDeath(claim bronzelink.Member) {
 	same := processStart(claim.Incarnation) == processStart(f.self.Incarnation)
 	if claim.Status == bronzelink.Dead && same && claim.Incarnation > f.deathIncarnation {
@@ -226,13 +231,13 @@
 	}
 }
 
-// applyNameConflict takes a claim that another process of this name is alive. The
-// newcomer gives way while it joins. Once it has joined, which it can only
-// where the old one was held dead, the old one gives way: two owners under one
-// name would place a flow twice.
+// applyNameConflict processes a claim that another process with this node's
+// name is alive. The newer process yields while it is joining. Once it has
+// joined, which is possible only where the old one was held dead, the old one
+// yields: two owners under one name would place a flow twice.
 func (f *Fleet) applyNameConflict(claim bronzelink.Member, now time.Time) {
 	if claim.ControlAddress == f.self.ControlAddress && processStart(claim.Incarnation) < processStart(f.self.Incarnation) {
-		return // this address's earlier process
+		return // the earlier process at this address
 	}
 	switch {
 	case f.phase == joining:
@@ -246,7 +251,7 @@
 	}
 }
 
-// nameTaken notes that another process of this name is alive.
+// nameTaken records that another process with this node's name is alive.
 func (f *Fleet) nameTaken(now time.Time) {
 	if f.phase != joining {
 		return
@@ -258,18 +263,19 @@
 	}
 }
 
-// queueUpdate makes a member's state news for all neighbours.
+// queueUpdate queues a member's state for the neighbours.
 func (f *Fleet) queueUpdate(name string) { f.updates[name] = struct{}{} }
 
-// updatesPerInterval is how many news a node passes on to all its neighbours in
+// updatesPerInterval is how many updates a node sends to all its neighbours in
 // one interval. After a partition, hundreds of members change within seconds;
-// sent to all neighbours they would take a hundred times the bytes that control
-// traffic may, so what is beyond goes around the first ring only.
+// sent to all neighbours, their updates would take a hundred times the bytes
+// that control traffic may use, so any further ones go around the first ring
+// only.
 const updatesPerInterval = 8
 
-// sendUpdates sends the news to the neighbours, once to each: news that is lost on
-// the way is found by the digests in the heartbeats. A member that is
-// suspected is told itself.
+// sendUpdates sends the queued updates to the neighbours, once to each: a lost
+// update is detected by the digests in the heartbeats. A suspicion is also sent
+// to the member that it is about.
 func (f *Fleet) sendUpdates() {
 	if len(f.updates) == 0 {
 		return
