--- a/bronzefleet/table.go
+++ b/bronzefleet/table.go
@@ -10,36 +10,36 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// none is the index of no node.
+// none marks an unused place in an order.
 const none = ^uint16(0)
 
-// previousWindow is for how long a former owner of a slot is remembered when
-// the slot changes again: longer than any flow waits for an answer, so that
-// two changes in a row don't hide the owner before the first.
+// previousWindow is how long the previous owners of a slot are remembered when
+// the slot changes again. It is longer than any flow waits for an answer, so
+// that after two changes in a row the owner before the first is still known.
 const previousWindow = 60 * time.Second
 
-// node is a member with the hash that its scores are computed from.
+// node is a member with the hash that its rendezvous scores are computed from.
 type node struct {
 	name string
 	hash uint64
 }
 
-// order names nodes by their index, best first; unused places are none.
+// order lists nodes by index, the highest score first; unused places are none.
 type order [OrderLength]uint16
 
 var emptyOrder = order{none, none, none}
 
-// table is the ownership of all slots. It is immutable once it is in a View.
+// table holds the ownership of all slots. It is immutable once it is in a View.
 type table struct {
-	nodes    []node // by index; a node that is gone keeps its index for a while
+	nodes    []node // by index; a node that is gone keeps its index until that is reused
 	live     map[string]uint16
 	dead     map[string]struct{}
 	orders   []order
-	previous []order // the owners before the last change
-	changed  []int64 // Unix nanoseconds, 0 for never
+	previous []order // the owners before the last change, by slot
+	changed  []int64 // by slot, in Unix nanoseconds, 0 for never
 }
 
-// newTable returns the table of owners with no change on record.
+// newTable returns the table of owners with no changes recorded.
 func newTable(owners map[string]struct{}) *table {
 	t := &table{
 		live:     make(map[string]uint16, len(owners)),
@@ -51,10 +51,10 @@
 	return t
 }
 
-// update returns the table for owners, reusing t's work: a node that joined
-// is compared with the order of each slot, and of a node that went only the
-// slots that named it are computed again. Nodes of owners that t held as dead
-// have come back. It returns t itself if nothing changed.
+// update returns the table for owners, computed incrementally from t: a node
+// that joined is compared with the order of each slot, and for a node that is
+// gone only the slots that listed it are computed again. Owners that are dead
+// in t have come back. It returns t itself if nothing changed.
 func (t *table) update(owners, dead map[string]struct{}, now time.Time) *table {
 	var joined, back, gone []string
 	for name := range owners {
@@ -85,7 +85,7 @@
 	next.changed = slices.Clone(t.changed)
 	slices.Sort(joined)
 	next.join(joined)
-	next.leave(gone) // after join, so that no index that prev's orders name is used again
+	next.leave(gone) // after join, so that join reuses no index that t's orders contain
 	next.record(t, back, now)
 	return next
 }
@@ -96,7 +96,7 @@
 	scores [OrderLength]uint64
 }
 
-// rank returns the order o of a slot with its scores.
+// rank returns the order o of a slot with the scores of its nodes.
 func (t *table) rank(slot int, o order) ranking {
 	r := ranking{order: o}
 	for k, i := range o {
@@ -107,7 +107,7 @@
 	return r
 }
 
-// insert puts node i into its place in r, if it has one there and isn't in r.
+// insert adds node i to r at its rank, unless it is already in r or ranks too low.
 func (t *table) insert(slot int, r *ranking, i uint16) {
 	score := bronzeflow.Mix(uint64(slot), t.nodes[i].hash)
 	if score < r.scores[OrderLength-1] && r.order[OrderLength-1] != none {
@@ -127,7 +127,7 @@
 	}
 }
 
-// ranksBefore reports whether node i with that score comes ranksBefore place k of r.
+// ranksBefore reports whether node i with that score ranks higher than place k of r.
 func (t *table) ranksBefore(i uint16, score uint64, r *ranking, k int) bool {
 	if r.order[k] == none || score != r.scores[k] {
 		return r.order[k] == none || score > r.scores[k]
@@ -135,11 +135,11 @@
 	return t.nodes[i].name < t.nodes[r.order[k]].name
 }
 
-// manyJoins is the number of joining nodes from which on it is cheaper to
-// compute all orders again.
+// manyJoins is the number of joining nodes from which it is cheaper to compute
+// all orders from scratch.
 const manyJoins = 8
 
-// join adds nodes to the orders that they belong in.
+// join adds nodes to the orders in which they rank high enough.
 func (t *table) join(names []string) {
 	indexes := make([]uint16, len(names))
 	for k, name := range names {
@@ -165,7 +165,7 @@
 // indexes returns the indexes of all live nodes.
 func (t *table) indexes() []uint16 { return slices.Sorted(maps.Values(t.live)) }
 
-// index returns the index of name, which may be one that no order names.
+// index returns the index of name. A new name gets a free index if there is one.
 func (t *table) index(name string) uint16 {
 	free := -1
 	used := t.used()
@@ -186,7 +186,7 @@
 	return uint16(free)
 }
 
-// used tells which indexes are live or named by a former order.
+// used reports for each index whether it is live or in a previous order.
 func (t *table) used() []bool {
 	used := make([]bool, len(t.nodes))
 	for _, i := range t.live {
@@ -229,10 +229,10 @@
 	return r.order
 }
 
-// record notes for each slot whose owner is no longer prev's who owned it
-// before. The nodes in back were dead here and are alive: on the other side of
-// a partition the best of them owned the slot, also where the owner on this
-// side stays the same, so each slot is unsettled then.
+// record records the previous owners of each slot whose owner differs from
+// prev's. The nodes in back were dead here and are alive again: on the other
+// side of a partition the one with the highest score owned the slot, even where
+// the owner on this side stays the same, so then every slot is unsettled.
 func (t *table) record(prev *table, back []string, now time.Time) {
 	at := now.UnixNano()
 	for slot := range t.orders {
@@ -251,9 +251,9 @@
 	}
 }
 
-// previousOrder returns the former owners of a slot: the last one first, then the
-// best of the earlier ones and of those that came back. The owner of now isn't
-// among them.
+// previousOrder returns the previous owners of a slot: the last one first, then
+// those with the highest scores among the earlier ones and the nodes that came
+// back. The current owner isn't among them.
 func (t *table) previousOrder(slot int, oldOwner, newOwner uint16, back []string) order {
 	rest := ranking{order: emptyOrder}
 	for _, i := range t.previous[slot] {
--- a/bronzefleet/view.go
+++ b/bronzefleet/view.go
@@ -19,22 +19,22 @@
 	slotShift = 64 - slotBits
 )
 
-// View is what a node knows of the fleet at one moment: immutable.
+// View is an immutable snapshot of the fleet as one node knows it.
 type View struct {
 	// Version grows with each view of one process.
 	Version uint64
-	// Self is the name of the node whose view it is.
+	// Self is the name of the node that built the view.
 	Self string
-	// Members are the members that own or may own flows and those that are
-	// leaving, by name.
+	// Members are the members that are Alive, Suspect or Leaving, by name.
 	Members map[string]bronzelink.Member
-	// Ready is false until the node has synchronized with a peer, or has
-	// found that there is none.
+	// Ready is false until the node has joined, which it does once it has
+	// synchronized with a peer or the wait for that is over.
 	Ready bool
-	// Fenced is true while the node checks its beliefs after a pause.
+	// Fenced is true while the node waits for a peer's answer after a pause;
+	// it must not trust this view until then.
 	Fenced bool
-	// Partitioned is true while some member may be alive on the other side of a
-	// network partition: it is dead here and never said that it was leaving.
+	// Partitioned is true while some member may be alive on the other side of
+	// a network partition: it is dead here and never announced its leave.
 	Partitioned bool
 
 	// table is shared by views that have the same owners.
@@ -42,12 +42,12 @@
 }
 
 // NewView returns the view of the node self over members. Members that are
-// Alive or Suspect own flows; Leaving ones are kept in Members; those that
-// are Dead or Left are not, but a Dead one that comes back later counts as
-// one that may still hold flows. The result shares what it can with prev,
-// which may be nil; the slots whose owner differs from prev's changed at now.
-// Without prev, the slots that self owns changed at now, because self has
-// just taken them from others. Ready, Fenced and Split are as in prev.
+// Alive or Suspect own flows; Leaving ones are kept in Members; those that are
+// Dead or Left are not, but a Dead one that comes back later may still hold
+// flows, and so is named by Previous. The result shares memory with prev, which
+// may be nil. The slots whose owner differs from prev's are recorded as changed
+// at now. Without prev, these are the slots that self owns, because self has
+// just taken them over from others. Ready, Fenced and Partitioned are as in prev.
 func NewView(self string, members []bronzelink.Member, prev *View, now time.Time) *View {
 	v := &View{Version: 1, Self: self, Members: make(map[string]bronzelink.Member, len(members))}
 	dead := map[string]struct{}{}
@@ -71,7 +71,7 @@
 	return v
 }
 
-// owners returns the set of the members that own flows, but for except.
+// owners returns the set of the members that own flows, without except.
 func (v *View) owners(except string) map[string]struct{} {
 	owners := make(map[string]struct{}, len(v.Members))
 	for name := range v.Members {
@@ -82,8 +82,8 @@
 	return owners
 }
 
-// owns reports whether a member in that state owns flows. A Suspect member
-// does until it is Dead, so that a wrong suspicion moves no flow.
+// owns reports whether a member with status s owns flows. A Suspect member
+// does until it is Dead, so that a wrong suspicion moves no flows.
 func owns(s bronzelink.Status) bool {
 	return s == bronzelink.Alive || s == bronzelink.Suspect
 }
@@ -91,9 +91,9 @@
 // Slot returns the slot of the flow hash.
 func Slot(hash uint64) int { return int(hash >> slotShift) }
 
-// Order returns the names of the nodes for the flow hash in order of
-// preference: the owner first. It has fewer than OrderLength names in a
-// small fleet. Nodes that are leaving or dead are not in it.
+// Order returns the names of the n preferred nodes for the flow hash, the owner
+// first. In a small fleet n is less than OrderLength. Nodes that are leaving or
+// dead are not among them.
 func (v *View) Order(hash uint64) (names [OrderLength]string, n int) {
 	if v.table == nil {
 		return names, 0
@@ -107,7 +107,7 @@
 	return names, n
 }
 
-// Owner returns the first name of Order, or Self if there is none.
+// Owner returns the first name of Order, or Self if Order has none.
 func (v *View) Owner(hash uint64) string {
 	if v.table == nil {
 		return v.Self
@@ -119,9 +119,9 @@
 	return v.table.nodes[i].name
 }
 
-// Unsettled reports whether the owner for hash changed less than d ago, or
-// a member that may have owned it on the other side of a partition came back
-// less than d ago.
+// Unsettled reports whether the ownership of the slot of hash changed less than
+// d ago: it got another owner, or a member came back that may have owned it on
+// the other side of a partition.
 func (v *View) Unsettled(hash uint64, d time.Duration) bool {
 	if v.table == nil {
 		return false
@@ -130,9 +130,9 @@
 	return at != 0 && time.Now().UnixNano()-at < int64(d)
 }
 
-// Previous returns the names of the nodes that owned or may have owned the
-// slot of hash before it last became unsettled, the most likely first. Those
-// that are leaving are among them; those that are gone are not.
+// Previous returns the names of the n nodes that owned or may have owned the
+// slot of hash before it last became unsettled, the most likely first. Nodes
+// that are leaving are among them; dead ones and those that have left are not.
 func (v *View) Previous(hash uint64) (names [OrderLength]string, n int) {
 	if v.table == nil {
 		return names, 0
