--- a/bronzefleet/peers.go
+++ b/bronzefleet/peers.go
@@ -14,29 +14,29 @@
 const (
 	// targetCount is how many members a node monitors; as many monitor it.
 	targetCount = 4
-	// smallFleet is the number of members up to which all are neighbours.
+	// smallFleet is the number of members up to which all are neighbours of
+	// each other.
 	smallFleet = 2*targetCount + 1
 )
 
-// peers are the members that a node exchanges messages with all the time.
+// peers are the members that a node regularly exchanges messages with.
 type peers struct {
 	targets    []bronzelink.Member // monitored by this node
-	neighbours []bronzelink.Member // targets, and those that monitor this node
+	neighbours []bronzelink.Member // the members that this node targets, and those that monitor it
 	loadPeers  []bronzelink.Member // that loads are sent to
 }
 
-// ring is an order of members around a circle by hash.
+// ring is a circular order of members by hash.
 type ring struct {
 	salt uint64
-	zone bool // of the own zone's members only
+	zone bool // only of the members in the node's own zone
 }
 
-// rings are two circles of the whole fleet and two of each zone. A node is
-// linked with the next and the previous member of each. One circle is enough
-// to connect the fleet, also across zones, and gives each member one monitor;
-// several with different orders make the ways between any two short (4 or 5
-// links at 490 members), and those of the zone keep a zone connected that is
-// cut off.
+// rings are two rings of the whole fleet and two of each zone. A node is linked
+// with the next and the previous member on each. One ring is enough to connect
+// the fleet, also across zones, and gives each member one monitor. Several with
+// different orders make the paths between any two members short (4 or 5 links
+// at 490 members), and those of the zone keep a partitioned zone connected.
 var rings = [targetCount]ring{{salt: 1}, {salt: 2, zone: true}, {salt: 3}, {salt: 4, zone: true}}
 
 func compareNames(a, b bronzelink.Member) int { return strings.Compare(a.Name, b.Name) }
@@ -50,8 +50,8 @@
 		targets.add(r.walk(self, others, 1), 1)
 		monitors.add(r.walk(self, others, -1), 1)
 	}
-	// Members that are neighbours on several rings, or a zone of one, leave
-	// places that the first ring fills.
+	// If a member is next on several rings, or is alone in its zone, the
+	// remaining peers are taken from the first ring.
 	targets.add(rings[0].walk(self, others, 1), targetCount)
 	monitors.add(rings[0].walk(self, others, -1), targetCount)
 	monitored := union(targets.members, extra)
@@ -65,17 +65,17 @@
 	}
 }
 
-// union returns the members of both lists by name.
+// union returns the members of both lists, sorted by name and each once.
 func union(a, b []bronzelink.Member) []bronzelink.Member {
 	list := slices.Concat(a, b)
 	slices.SortFunc(list, compareNames)
 	return slices.CompactFunc(list, func(a, b bronzelink.Member) bool { return a.Name == b.Name })
 }
 
-// selection collects up to targetCount members.
+// selection collects up to targetCount different members.
 type selection struct{ members []bronzelink.Member }
 
-// add takes the first n members of walk that are not chosen yet.
+// add adds the first n members of walk that are not selected yet.
 func (c *selection) add(walk []bronzelink.Member, n int) {
 	for _, m := range walk {
 		if n == 0 || len(c.members) == targetCount {
@@ -88,7 +88,7 @@
 	}
 }
 
-// place is a member's place on a ring.
+// place is a member's distance on a ring and its index in a list.
 type place struct {
 	hash  uint64
 	index int
@@ -121,13 +121,15 @@
 
 func (r ring) hash(name string) uint64 { return bronzeflow.Mix(xxhash.Sum64String(name), r.salt) }
 
-// maxExtraTargets bounds the members that one ring makes a node monitor.
+// maxExtraTargets bounds the members beyond its target that a node monitors on
+// one ring.
 const maxExtraTargets = 16
 
-// extraTargets returns the members that self monitors beside its target because that
-// is suspect: twice as many as there are suspects in a row. A partition cuts
-// off many members at once, and most of them lie behind others on the rings;
-// found one after the other, the last would be found after a minute.
+// extraTargets returns the members that self monitors on the ring while there are
+// suspects: its target, and beyond that twice as many as there are suspects in
+// the list. A partition makes many members unreachable at once, and most of them
+// come after others on the rings; detected one after the other, the last would
+// be detected after a minute. It returns nil if no member is suspect.
 func (r ring) extraTargets(self bronzelink.Member, others []bronzelink.Member) (list []bronzelink.Member) {
 	if !slices.ContainsFunc(others, isSuspect) {
 		return nil
@@ -147,7 +149,7 @@
 
 func isSuspect(m bronzelink.Member) bool { return m.Status == bronzelink.Suspect }
 
-// sorted returns the members of the ring in order, beginning after self.
+// sorted returns the members of the ring in its order, starting after self.
 func (r ring) sorted(self bronzelink.Member, others []bronzelink.Member) []bronzelink.Member {
 	origin := r.hash(self.Name)
 	var list []bronzelink.Member
--- a/bronzefleet/sync.go
+++ b/bronzefleet/sync.go
@@ -13,25 +13,29 @@
 )
 
 const (
-	// parts is how many parts a list of members is compared in.
+	// parts is the number of parts of a member list that have a digest each.
 	parts     = 64
 	partShift = 64 - 6
-	// mismatchLimit is how many heartbeats in a row must show another digest
-	// before lists are compared: news on its way settles by itself.
+	// mismatchLimit is the number of heartbeats in a row that must show another
+	// digest before member lists are exchanged: a difference that is due to
+	// updates in flight disappears by itself.
 	mismatchLimit = 3
-	// syncIntervals is the least time between two comparisons of lists.
+	// syncIntervals is the least time between two exchanges that digests
+	// trigger, in heartbeat intervals.
 	syncIntervals = 4
 	// recontactIntervals is the time between two attempts of a node to reach a
-	// dead member, which is how the sides of a partition find each other again.
-	// With more than recontactNodes members it grows, so that the attempts of
-	// one side together stay the same: each may exchange whole lists.
+	// dead member, in heartbeat intervals. By these attempts the sides of a
+	// partition find each other again. With more than recontactNodes members
+	// the time grows, so that the total rate of attempts from one side stays
+	// the same: each attempt may exchange whole lists.
 	recontactIntervals = 10
 	recontactNodes     = 16
-	// phases is in how many steps nodes are spread over a period.
+	// phases is the number of steps in which the nodes' first attempts are
+	// spread over a period.
 	phases = 1024
 )
 
-// digests are hashes over the members that are alive here.
+// digests are hashes over the members that are neither dead nor left.
 type digests struct {
 	total uint64
 	parts []uint32
@@ -50,7 +54,8 @@
 	return d
 }
 
-// add adds a member. Suspicions are left out, since they pass.
+// add adds a member. A Suspect member counts as Alive, because a suspicion is
+// temporary.
 func (d *digests) add(m bronzelink.Member) {
 	if m.Status >= bronzelink.Dead {
 		return
@@ -64,7 +69,7 @@
 	d.parts[part(m.Name)] ^= uint32(h)
 }
 
-// compare starts an exchange with a peer whose digest differs for long.
+// compare starts an exchange with a peer whose digest keeps differing.
 func (f *Fleet) compare(e *entry, digest uint64, now time.Time) {
 	if digest == f.digests.total {
 		e.digestMismatches = 0
@@ -89,7 +94,7 @@
 	}})
 }
 
-// announcement returns this node, if the others may know of it.
+// announcement returns this node's own state, once it has joined.
 func (f *Fleet) announcement() []bronzelink.Member {
 	if !f.announced() {
 		return nil
@@ -117,7 +122,7 @@
 	}
 }
 
-// answer sends the members that the asker wants.
+// answer sends the members that the asker requested.
 func (f *Fleet) answer(from string, l *bronzelink.Members) {
 	a := &bronzelink.Members{
 		Answer:   l.Sequence,
@@ -136,7 +141,7 @@
 	f.sendTo(from, &bronzelink.Message{Members: a})
 }
 
-// list returns all members, this node too if it is present, by name.
+// list returns all members sorted by name, with this node once it has joined.
 func (f *Fleet) list() []bronzelink.Member {
 	list := f.announcement()
 	for _, e := range f.entries {
@@ -152,7 +157,8 @@
 	return len(a) != parts || len(b) != parts || a[p] != b[p]
 }
 
-// unmentioned returns the live members that an answer should have held.
+// unmentioned returns the live members in the differing parts that an answer
+// doesn't contain.
 func (f *Fleet) unmentioned(own []uint32, l *bronzelink.Members) []bronzelink.Member {
 	if len(l.Digests) != parts {
 		return nil
@@ -170,17 +176,18 @@
 	return list
 }
 
-// catchUp is the wait for a peer's answer while joining or after a pause.
+// catchUp is the state of the wait for a peer's answer while joining or after a
+// pause.
 type catchUp struct {
 	active      bool
 	first       uint64 // the first Sequence that counts as an answer
-	answered    bool   // by a member that is in step with the fleet
+	answered    bool   // by a member that has joined and isn't fenced
 	firstAnswer time.Time
 	revision    uint64
 	until       time.Time
 }
 
-// onAnswer notes an answer to what this node asked while catching up.
+// onAnswer processes an answer to a request of this node while it catches up.
 func (f *Fleet) onAnswer(from string, l *bronzelink.Members, now time.Time) {
 	c := &f.catchUp
 	if !c.active || l.Answer < c.first {
@@ -204,10 +211,10 @@
 	return bronzelink.Member{Name: name}
 }
 
-// finishCatchUp goes on when a peer has told this node what it missed and the
-// configuration that it has is in force here too, or when none did in time. A
-// node that owned flows before that could place them by an old list or by an
-// old configuration.
+// finishCatchUp ends the wait when a peer has told this node what it missed and
+// the peer's configuration is in force here too, or when the time for that is
+// over. A node that owned flows earlier could place them by an outdated member
+// list or configuration.
 func (f *Fleet) finishCatchUp(now time.Time) {
 	c := &f.catchUp
 	if !c.active || f.failure != nil {
@@ -218,14 +225,14 @@
 		return
 	}
 	if f.phase == joining && now.Sub(f.nameTakenAt) < orDefault(f.JoinWait, DefaultJoinWait) {
-		return // the name is taken
+		return // another process uses the name
 	}
 	if late && !c.answered && c.firstAnswer.IsZero() {
 		f.countUnanswered()
 	}
 	*c = catchUp{}
 	f.dirty = true
-	f.takenOver = f.takenOver || f.fenced // a peer may have forgotten that it held this node dead
+	f.takenOver = f.takenOver || f.fenced // the peers' answers may no longer show that they held it dead
 	f.fenced = false
 	if f.phase == joining {
 		f.completeJoin(now)
@@ -240,8 +247,8 @@
 	for _, w := range f.watches {
 		*w = watch{acked: now}
 	}
-	// Nodes that start at the same moment don't hear of each other from
-	// those that were there before.
+	// Nodes that start at the same moment don't learn of each other from the
+	// members that were there before.
 	unknown := f.unknown()
 	for _, to := range unknown[:min(len(unknown), smallFleet)] {
 		f.exchange(to)
@@ -256,8 +263,8 @@
 	f.count(CountFenceUnanswered)
 }
 
-// join asks members for their lists: one with each tick until there was an
-// answer, then one with each interval.
+// join asks members for their whole lists: one at each tick until one has
+// answered, then one in each heartbeat interval.
 func (f *Fleet) join(now time.Time) {
 	if !f.catchUp.active {
 		f.catchUp = catchUp{active: true, first: f.sequence + 1, until: now.Add(orDefault(f.JoinWait, DefaultJoinWait))}
@@ -273,9 +280,9 @@
 	}
 }
 
-// contact returns a member that may answer a joining node, another one each
-// time: a seed, a member it has heard of, or one from the platform's list. They
-// are asked one at a time because a whole list is large.
+// contact returns the next member to ask while joining: a seed, a known member,
+// or one from the platform's list. They are asked one at a time because a whole
+// list is large.
 func (f *Fleet) contact() (to bronzelink.Member, ok bool) {
 	all := f.unknown()
 	for _, e := range f.entries {
@@ -291,7 +298,7 @@
 	return all[f.nextContact%len(all)], true
 }
 
-// compareContacts orders members of which the name may not be known.
+// compareContacts orders members whose names may be unknown.
 func compareContacts(a, b bronzelink.Member) int {
 	return cmp.Or(compareNames(a, b), cmp.Compare(a.ControlAddress, b.ControlAddress))
 }
@@ -305,7 +312,8 @@
 	}
 }
 
-// fence stops trusting the view and asks the neighbours what happened.
+// fence marks the view as not to be trusted, and asks the neighbours what this
+// node missed.
 func (f *Fleet) fence(now time.Time) {
 	f.count(CountFenced)
 	f.fenced = true
@@ -316,8 +324,9 @@
 	}
 }
 
-// recontactDead tries to reach a member that is held dead, or that only the
-// platform knows, and forgets those that are gone for long.
+// recontactDead tries to reach a member that is dead here, or that is known only
+// as a seed or from the platform's list. It also deletes the entries of members
+// that have been gone for long enough.
 func (f *Fleet) recontactDead(now time.Time) {
 	if now.Sub(f.lastRecontact) < f.recontactAfter() || !f.announced() {
 		return
@@ -350,13 +359,13 @@
 	return recontactIntervals * f.interval() * time.Duration(max(live, recontactNodes)) / recontactNodes
 }
 
-// phaseHash is different on each node, so that they don't all do the same at
-// the same time.
+// phaseHash differs between nodes, so that they don't all make their attempts at
+// the same time and at the same member.
 func (f *Fleet) phaseHash() uint32 { return uint32(xxhash.Sum64String(f.self.Name)) }
 
-// unknown returns the seeds, and the VMs that the platform lists, at whose
-// address no member is known: this node may have started while it was cut off
-// from them.
+// unknown returns the seeds and the VMs on the platform's list at whose address
+// no member is known: this node may have started while it was partitioned from
+// them.
 func (f *Fleet) unknown() []bronzelink.Member {
 	known := map[string]struct{}{f.self.ControlAddress: {}}
 	for _, e := range f.entries {
@@ -376,7 +385,7 @@
 	return all
 }
 
-// expired reports whether a member is gone for long enough to forget it.
+// expired reports whether a member has been gone for long enough to delete it.
 func (f *Fleet) expired(e *entry, now time.Time) bool {
 	gone := now.Sub(e.statusSince)
 	switch e.m.Status {
@@ -389,8 +398,8 @@
 	}
 }
 
-// confirmedGone reports whether the platform's list, received after the member
-// got its status, is without it.
+// confirmedGone reports whether the platform's list was received after the
+// member got its status and doesn't contain it.
 func (f *Fleet) confirmedGone(e *entry) bool {
 	if f.vms == nil || !f.vmsAt.After(e.statusSince) {
 		return false
@@ -399,7 +408,7 @@
 	return !listed
 }
 
-// checkPartition finds out whether the fleet may be split.
+// checkPartition determines whether the fleet may be partitioned.
 func (f *Fleet) checkPartition(now time.Time) {
 	split := false
 	for _, e := range f.suspectOrDead {
@@ -411,9 +420,10 @@
 	}
 }
 
-// maybePartitioned reports whether a member that died here may be alive elsewhere. A
-// process that died looks just like one that was cut off, so this is limited
-// in time: longer if the platform still lists its VM.
+// maybePartitioned reports whether a member that is dead here may be alive on
+// the other side of a partition. A process that died can't be told from one that
+// became unreachable, so the answer is limited in time: longer if the platform
+// still lists its VM.
 func (f *Fleet) maybePartitioned(e *entry, now time.Time) bool {
 	if e.m.Status != bronzelink.Dead || e.announcedLeave || f.confirmedGone(e) {
 		return false
