--- a/bronzefleet/load.go
+++ b/bronzefleet/load.go
@@ -11,33 +11,33 @@
 )
 
 const (
-	// loadBurst is how much of the byte budget may be saved up.
+	// loadBurst is the time over which unused byte budget accumulates.
 	loadBurst = 2 * time.Second
-	// loadShare is the part of the byte budget that the regular sendings take;
-	// the rest is for catching up.
+	// loadShare is the share of the byte budget for regular loads; the rest is
+	// for catching up.
 	loadShare = 0.7
-	// unchangedLoad is by how much later a load is sent that didn't change.
+	// unchangedLoad is the factor by which an unchanged load is sent less often.
 	unchangedLoad = 8
-	// leavingWeight is what a server that leaves, or no longer does, counts as a
-	// change: more than any number of flows.
+	// leavingWeight is the change that a server counts as which begins or ceases
+	// to leave: more than any number of flows.
 	leavingWeight = 1 << 32
 )
 
 // loadSpreader spreads the Load of each node to all others. In a small fleet the
 // origin sends it to all. In a larger one a Load travels around the first ring
-// both ways, passed on at once by each node that didn't have it; so each node
-// sends each Load about once, which no other way undercuts, one broken place in
-// the ring keeps it from nobody, and a way of half the ring takes less than a
-// second. An origin sends its own as often as the byte budget allows at this
-// size. Where that is too much, the loadSpreader wait that changed least, and only the
-// newest of an origin does.
+// in both directions, and each node that didn't have it passes it on at once. So
+// each node sends each Load about once, which is the minimum; a single break in
+// the ring keeps it from no node; and half the ring takes less than a second. An
+// origin sends its own Load as often as the byte budget allows at this fleet
+// size. Where the budget is exceeded, the loads that changed least wait, and
+// only the newest of each origin is kept.
 type loadSpreader struct {
 	mu         sync.Mutex
 	origins    map[string]*origin
-	waiting    map[*origin]struct{} // those with neighbours that are to get them
+	waiting    map[*origin]struct{} // those that are still to be sent to neighbours
 	neighbours []bronzelink.Member  // that loads are sent to
-	direct     bool                 // all members are: nothing is passed on
-	others     int                  // members beside this node
+	direct     bool                 // the neighbours are all members, so nothing is passed on
+	others     int                  // the number of members without this node
 	own        *bronzelink.Load
 	ownSent    time.Time
 	sequence   uint64
@@ -45,19 +45,19 @@
 	lastPaced  time.Time
 }
 
-// origin is the newest Load of one node.
+// origin holds the newest Load of one node.
 type origin struct {
 	load    *bronzelink.Load
 	size    int
 	from    string
 	arrived time.Time
-	change  int // how much of it changed since it was last passed on
+	change  int // in flows, since it was last sent to all neighbours
 	pending map[string]struct{}
 }
 
-// Share makes load this node's own, which is sent when the byte budget allows;
-// Origin and Sequence are set here. The caller must not change the slices
-// afterwards.
+// Share sets this node's own load, which is sent when the byte budget allows.
+// It sets Origin and later Sequence itself. The caller must not change the
+// slices of load afterwards.
 func (f *Fleet) Share(load bronzelink.Load) {
 	load.Origin = f.Self.Name
 	f.load.share(&load)
@@ -69,7 +69,7 @@
 	s.own = l
 }
 
-// storeOwn makes this node's own load one to be sent if it is time.
+// storeOwn marks this node's own load to be sent if it is due.
 func (s *loadSpreader) storeOwn(now time.Time, rate float64) {
 	if s.own == nil {
 		return
@@ -81,7 +81,7 @@
 		}
 	}
 	if s.sequence == 0 {
-		// Later than any Sequence of an earlier process of this name.
+		// Higher than any Sequence of an earlier process with this name.
 		s.sequence = uint64(now.UnixMilli())
 	}
 	s.sequence++
@@ -91,9 +91,9 @@
 	s.store(&l, "")
 }
 
-// ownWait returns how many seconds after o the node's own load may be sent. News
-// of a server that leaves goes out at once: every node that lacks it opens new
-// flows there.
+// ownWait returns how many seconds after o the node's own load may be sent. A
+// change in which servers are leaving is sent at once: nodes that don't know of
+// it open new flows there.
 func (s *loadSpreader) ownWait(o *origin, rate float64) float64 {
 	wait := float64(s.others+1) * float64(o.size) / (rate * loadShare)
 	switch change := difference(o.load, s.own); {
@@ -106,7 +106,7 @@
 	}
 }
 
-// receive takes a Load that the neighbour from passed on.
+// receive processes a Load that the neighbour from passed on.
 func (s *loadSpreader) receive(f *Fleet, from string, l *bronzelink.Load) {
 	if l.Origin == f.Self.Name || !s.keep(from, l) {
 		return
@@ -117,7 +117,7 @@
 	}
 }
 
-// keep stores l and reports whether it is newer than what was known.
+// keep stores l if it is newer than the stored Load, and reports whether it is.
 func (s *loadSpreader) keep(from string, l *bronzelink.Load) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,7 +130,7 @@
 	return false
 }
 
-// store makes l the newest Load of its origin and marks who is to get it.
+// store makes l the newest Load of its origin, to be sent to the neighbours.
 func (s *loadSpreader) store(l *bronzelink.Load, from string) {
 	if s.origins == nil {
 		s.origins = map[string]*origin{}
@@ -145,7 +145,7 @@
 	s.mark(o)
 }
 
-// mark notes which neighbours are to get o.
+// mark records which neighbours o is still to be sent to.
 func (s *loadSpreader) mark(o *origin) {
 	o.pending = map[string]struct{}{}
 	if s.direct && o.from != "" {
@@ -201,7 +201,7 @@
 	return n
 }
 
-// setNeighbours sets whom loads are sent to.
+// setNeighbours sets the members that loads are sent to.
 func (s *loadSpreader) setNeighbours(neighbours []bronzelink.Member, others int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -221,7 +221,7 @@
 	return s.own.Origin
 }
 
-// forget drops the origins that are not in names.
+// forget drops the origins that are neither among members nor self.
 func (s *loadSpreader) forget(members map[string]*entry, self string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -233,8 +233,8 @@
 	}
 }
 
-// pace sends what the byte budget allows: the loads first that changed most or
-// wait longest.
+// pace sends what the byte budget allows: first the loads that changed most or
+// have waited longest.
 func (s *loadSpreader) pace(f *Fleet, now time.Time) {
 	for _, o := range s.due(now, float64(orDefault(f.LoadBytesPerSecond, DefaultLoadBytesPerSecond))) {
 		f.transmit(o.to, o.m)
@@ -280,14 +280,15 @@
 	return out
 }
 
-// byUrgency returns the loads that wait, the most urgent first.
+// byUrgency returns the waiting loads, the most urgent first.
 func (s *loadSpreader) byUrgency(now time.Time) []*origin {
 	return slices.SortedFunc(maps.Keys(s.waiting), func(a, b *origin) int {
 		return cmp.Or(cmp.Compare(b.urgency(now), a.urgency(now)), cmp.Compare(a.load.Origin, b.load.Origin))
 	})
 }
 
-// urgency orders the loads that wait.
+// urgency returns the key by which waiting loads are ordered: the change in
+// flows plus the seconds since arrival.
 func (o *origin) urgency(now time.Time) int {
 	return o.change + int(now.Sub(o.arrived).Seconds())
 }
--- a/bronzefleet/output.go
+++ b/bronzefleet/output.go
@@ -6,7 +6,7 @@
 	"bronzeusher.example/bronzeusher/bronzelink"
 )
 
-// notifyView calls OnView with the newest view if it hasn't seen it.
+// notifyView calls OnView with the latest view unless it has had that already.
 func (f *Fleet) notifyView() {
 	f.viewMu.Lock()
 	defer f.viewMu.Unlock()
@@ -20,7 +20,7 @@
 	}
 }
 
-// rebuild makes a new view if something changed.
+// rebuild builds a new view if something changed.
 func (f *Fleet) rebuild(now time.Time) {
 	if !f.dirty {
 		return
@@ -32,7 +32,8 @@
 	}
 	prev := f.view.Load()
 	if f.takenOver && prev != nil {
-		// Others owned this node's slots meanwhile: they changed for it too.
+		// Others owned this node's slots in the meantime. A view without this
+		// node in between records these slots as changed.
 		prev = f.newView(f.self.Name, members, prev, now)
 	}
 	f.takenOver = false
@@ -63,12 +64,12 @@
 	}
 }
 
-// send queues m for the time when the lock is released.
+// send queues m, which is sent after the lock is released.
 func (f *Fleet) send(to bronzelink.Member, m *bronzelink.Message) {
 	f.out = append(f.out, outgoing{to: to, m: m})
 }
 
-// sendTo queues m for the member of that name.
+// sendTo queues m for the named member.
 func (f *Fleet) sendTo(name string, m *bronzelink.Message) {
 	to := bronzelink.Member{Name: name}
 	if e := f.entries[name]; e != nil {
