--- a/bronzelink/codec.go
+++ b/bronzelink/codec.go
@@ -14,7 +14,7 @@
 	maxElements         = 1 << 17
 )
 
-// ErrTooLarge tells that an encoded message is over its limit.
+// ErrTooLarge means that an encoded message exceeds its limit.
 var ErrTooLarge = errors.New("message too large")
 
 var (
@@ -29,7 +29,8 @@
 	}.DecMode())
 )
 
-// must returns mode; the options are constants, so err shows in any test.
+// must returns mode and panics if err is set. The options are constants, so any
+// test would reveal an error.
 func must[T any](mode T, err error) T {
 	if err != nil {
 		panic(err)
@@ -40,14 +41,14 @@
 // Encode returns the CBOR form of m, or ErrTooLarge.
 func Encode(m *Message) (b []byte, err error) { return encode(m, MaxMessageBytes) }
 
-// Decode returns the message that b holds. Fields that this build doesn't
-// know are skipped. The result shares no memory with b.
+// Decode returns the message encoded in b. Fields that this build doesn't know
+// are skipped. The result shares no memory with b.
 func Decode(b []byte) (m *Message, err error) { return decode[Message](b, MaxMessageBytes) }
 
 // EncodeFlow returns the CBOR form of m, or ErrTooLarge.
 func EncodeFlow(m *FlowMessage) (b []byte, err error) { return encode(m, MaxFlowMessageBytes) }
 
-// DecodeFlow returns the message that b holds. Fields that this build doesn't
+// DecodeFlow returns the message encoded in b. Fields that this build doesn't
 // know are skipped. The result shares no memory with b.
 func DecodeFlow(b []byte) (m *FlowMessage, err error) {
 	return decode[FlowMessage](b, MaxFlowMessageBytes)
--- a/bronzelink/doc.go
+++ b/bronzelink/doc.go
@@ -1,17 +1,17 @@
-// Package bronzelink is the inner protocol between balancers: the messages,
-// their CBOR form, and the links that carry them.
+// Package bronzelink implements the protocol between balancers: the messages,
+// their CBOR encoding, and the links that carry them.
 //
-// Control messages (Message) travel over WebSocket links with mutual TLS.
-// Messages about single flows (FlowMessage) travel as datagrams, and are
-// idempotent, so that a lost one is asked for again.
+// Control messages (Message) are sent over WebSocket links with mutual TLS.
+// Messages about single flows (FlowMessage) are sent as datagrams. They are
+// idempotent, so that a request can be repeated if a datagram is lost.
 //
-// Field names in the encoded form are those of the Go types. A field that the
-// receiver doesn't know is skipped, and one that the sender didn't know has its
-// zero value, so that two releases can meet during a rollout.
+// Field names in the encoded form are those of the Go types. The receiver skips
+// fields that it doesn't know, and fields that the sender didn't know have their
+// zero values, so that two releases can interoperate during a rollout.
 //
 // # Usage
 //
-// Encode a message for a link, decode it on the other side, and look at which
+// Encode a message for a link, decode it on the other side, and check which
 // field is set:
 //
 //	b, err := bronzelink.Encode(&bronzelink.Message{Heartbeat: &heartbeat})
@@ -21,7 +21,7 @@
 //		...
 //	}
 //
-// A Mesh does both, and keeps a link to each peer that messages go to:
+// A Mesh does both, and maintains a link to each peer that messages are sent to:
 //
 //	mesh := bronzelink.Mesh{Self: self, CertFile: cert, KeyFile: key, CAFile: ca, OnMessage: handle}
 //	go mesh.Serve(ctx, listener)
--- a/bronzelink/message.go
+++ b/bronzelink/message.go
@@ -2,17 +2,17 @@
 
 import "bronzeusher.example/bronzeusher/bronzeflow"
 
-// The versions of the inner protocol that this build speaks. Two nodes use
-// the highest version that both speak.
+// The range of protocol versions that this build supports. Two nodes use the
+// highest version that both support.
 const (
 	VersionMin = 1
 	VersionMax = 2
 )
 
-// Status is a member's state in the eyes of another member.
+// Status is a member's state as another member knows it.
 type Status uint8
 
-// The states of a member, from weakest to strongest claim at one Incarnation.
+// The states of a member. At one Incarnation, a later one overrides the earlier.
 const (
 	Alive Status = iota + 1
 	Suspect
@@ -21,7 +21,7 @@
 	Left
 )
 
-// Member is one node of the fleet, as news of it spreads.
+// Member is the state of one node of the fleet, as it is spread by gossip.
 type Member struct {
 	Name             string
 	Incarnation      uint64
@@ -31,25 +31,26 @@
 	ControlAddress   string `cbor:",omitempty"` // host:port of the WebSocket listener
 	DataAddress      string `cbor:",omitempty"` // host:port of the UDP socket for relays
 	Revision         uint64 `cbor:",omitempty"` // the configuration revision in force there
-	// Accuser is the name of the member that found this one Suspect or Dead.
+	// Accuser is the name of the member that declared this one Suspect or Dead.
 	Accuser string `cbor:",omitempty"`
 }
 
-// Hello opens a link. A node that finds no common version, another fleet, or
-// its own name with another Incarnation closes the link with a reason.
+// Hello is the first message of each side of a link. A node closes the link
+// with a reason if there is no common version, or if the peer belongs to another
+// fleet or uses this node's name.
 type Hello struct {
 	Versions []uint8
 	Fleet    string
 	Member   Member
 }
 
-// Heartbeat is sent once an interval to each peer that the sender monitors.
-// Its Member has no zone, region and addresses: the receiver knows them.
+// Heartbeat is sent once per interval to each peer that the sender monitors.
+// Its Member has no zone, region or addresses: the receiver knows them.
 type Heartbeat struct {
 	Sequence uint64
 	Member   Member
-	// Digest is a hash over the sender's member list; when it differs from
-	// the receiver's, the two exchange Members.
+	// Digest is a hash over the sender's member list. If it keeps differing
+	// from the receiver's, the two exchange Members.
 	Digest uint64
 }
 
@@ -60,26 +61,28 @@
 	Revision uint64
 }
 
-// Members carries news of members: a few, or many in answer to a Sequence.
+// Members carries the states of members: updates about a few, or the answer to
+// a request, which may be the whole list.
 type Members struct {
 	Members []Member `cbor:",omitempty"`
 	// Full asks the receiver to answer with its own whole list.
 	Full bool `cbor:",omitempty"`
 	// Sequence, if not 0, asks the receiver for an answer.
 	Sequence uint64 `cbor:",omitempty"`
-	// Answer is the Sequence that is answered.
+	// Answer, if not 0, is the Sequence of the request that this answers.
 	Answer uint64 `cbor:",omitempty"`
-	// Digests are hashes over the parts of the sender's list. The answer has
-	// the members of the parts that differ.
+	// Digests are hashes over the parts of the sender's list. The answer
+	// contains the members of the parts that differ.
 	Digests []uint32 `cbor:",omitempty"`
-	// Joined, in an answer, tells that the sender is in step with the fleet.
+	// Joined, in an answer, is true if the sender has joined the fleet and is
+	// not fenced.
 	Joined bool `cbor:",omitempty"`
 	// Revision, in an answer, is the sender's configuration revision.
 	Revision uint64 `cbor:",omitempty"`
 }
 
-// Check asks the receiver to find out whether it reaches the member Target,
-// which the sender doesn't.
+// Check asks the receiver to check whether it reaches the member Target, which
+// doesn't answer the sender (an indirect probe).
 type Check struct {
 	Sequence uint64
 	Target   string
@@ -92,16 +95,17 @@
 	Reached  bool
 }
 
-// LoadItem is one server's load as one origin knows it, in compact form.
+// LoadItem is one server's load as one origin knows it.
 type LoadItem struct {
 	_      struct{} `cbor:",toarray"`
 	Server bronzeflow.ServerID
 	Count  uint32
 }
 
-// Load carries what Origin knows: the open flows that it owns on each server
-// (Owned), or what the servers that it polls have reported (Reported).
-// Sequence grows with each message of one Origin; older ones are dropped.
+// Load carries the load of servers as Origin knows it: the open flows that it
+// owns on each server (Owned), and what the servers that it polls have reported
+// (Reported). Sequence increases with each message of one Origin; messages with
+// a lower one are dropped.
 type Load struct {
 	Origin   string
 	Sequence uint64
@@ -111,15 +115,15 @@
 	Leaving []bronzeflow.ServerID `cbor:",omitempty"`
 }
 
-// RecordVersion names one record as the sender holds it.
+// RecordVersion identifies one record and its revision at the sender.
 type RecordVersion struct {
 	_        struct{} `cbor:",toarray"`
 	Name     string
 	Revision uint64
 }
 
-// RecordsRequest asks a peer for its configuration; Have says what the
-// sender has, so that only the difference is sent.
+// RecordsRequest asks a peer for its configuration. Have lists the records that
+// the sender has, so that only the difference is sent.
 type RecordsRequest struct {
 	Revision uint64
 	Have     []RecordVersion
@@ -133,8 +137,8 @@
 	Body     []byte
 }
 
-// Records answers a RecordsRequest: the names of all records in force at
-// Revision, and the bodies that the asker lacks.
+// Records answers a RecordsRequest with the versions of all records in force at
+// Revision, and the bodies that the requester lacks.
 type Records struct {
 	Revision uint64
 	Present  []RecordVersion
@@ -142,7 +146,8 @@
 }
 
 // Message is the envelope of the control links: exactly one field is set.
-// Unknown fields are skipped, so that versions can meet during a rollout.
+// Unknown fields are skipped, so that releases can interoperate during a
+// rollout.
 type Message struct {
 	Hello          *Hello          `cbor:",omitempty"`
 	Heartbeat      *Heartbeat      `cbor:",omitempty"`
@@ -155,8 +160,7 @@
 	Records        *Records        `cbor:",omitempty"`
 }
 
-// Mapping tells where a flow is pinned. Hash stands for the key where both
-// sides need no more.
+// Mapping is the server that a flow is pinned to, with the flow's state.
 type Mapping struct {
 	_      struct{} `cbor:",toarray"`
 	Key    bronzeflow.Key
@@ -166,8 +170,8 @@
 	Echo   uint32
 }
 
-// CopyItem is the compact form of an exception: the hash of the flow's key,
-// the server, and whether the copy is to be dropped.
+// CopyItem is the copy of an exception: the hash of the flow's key, the server,
+// and whether the copy is to be dropped (Gone).
 type CopyItem struct {
 	_      struct{} `cbor:",toarray"`
 	Hash   uint64
@@ -175,26 +179,27 @@
 	Gone   bool
 }
 
-// FlowMessage is the envelope of messages about single flows. They travel as
-// datagrams between the nodes' data addresses, are idempotent, and may be
-// lost; whoever needs an answer asks again.
+// FlowMessage is the envelope of messages about single flows. They are sent as
+// datagrams between the nodes' data addresses, are idempotent, and may be lost:
+// a sender that needs an answer repeats its request.
 type FlowMessage struct {
-	// Learn tells a balancer that relayed a packet where the flow is pinned.
+	// Learn tells a balancer that relayed a packet which server its flow is
+	// pinned to.
 	Learn *Mapping `cbor:",omitempty"`
-	// Query asks what the receiver knows of a flow; Open is set when the
-	// asker wants to place it.
+	// Query asks for the receiver's mapping of a flow. Open is set if the
+	// sender wants to place the flow.
 	Query *Query `cbor:",omitempty"`
-	// Answer answers a Query; Mapping.Server 0 means that nothing is known.
+	// Answer answers a Query. Server is 0 if the flow is unknown.
 	Answer *Mapping `cbor:",omitempty"`
-	// Copies are exceptions for the successor to keep.
+	// Copies are copies of exceptions for the successor to store.
 	Copies []CopyItem `cbor:",omitempty"`
-	// CopyAcks are the hashes whose copies the successor holds.
+	// CopyAcks are the hashes of the copies that the successor has stored.
 	CopyAcks []uint64 `cbor:",omitempty"`
-	// Forget ends what the receiver learned of a flow.
+	// Forget tells the receiver to delete the mapping that it learned.
 	Forget *bronzeflow.Key `cbor:",omitempty"`
 }
 
-// Query is the question of a balancer that owns a flow but doesn't know it.
+// Query asks for the mapping of a flow that the sender owns but doesn't know.
 type Query struct {
 	_    struct{} `cbor:",toarray"`
 	Key  bronzeflow.Key
