--- a/bronzelink/conn.go
+++ b/bronzelink/conn.go
@@ -10,12 +10,12 @@
 	"github.com/pkg/errors"
 )
 
-// countedConn counts the bytes that cross the wire, below TLS, and notes when
-// the last ones came in.
+// countedConn counts the bytes on the wire, below TLS, and records when the last
+// ones were received.
 type countedConn struct {
 	net.Conn
 	mesh *Mesh
-	read atomic.Int64 // Unix nanoseconds
+	read atomic.Int64 // the time of the last read, in Unix nanoseconds
 }
 
 func (m *Mesh) counted(conn net.Conn) *countedConn {
@@ -44,7 +44,7 @@
 // connKey is the context key of a request's connection.
 type connKey struct{}
 
-// withConn keeps the counted connection below conn for the handler.
+// withConn passes the counted connection below conn to the handler.
 func withConn(ctx context.Context, conn net.Conn) context.Context {
 	if t, ok := conn.(*tls.Conn); ok {
 		conn = t.NetConn()
@@ -52,7 +52,7 @@
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// readyListener hands out connections whose handshake is over.
+// readyListener accepts connections after their TLS handshake.
 type readyListener struct {
 	net.Listener
 	ready chan net.Conn
@@ -61,9 +61,9 @@
 	mesh  *Mesh
 }
 
-// listen returns a listener of the secured, counted connections of ln. The
-// handshakes run beside each other, so that a peer that stalls in one holds up
-// nobody, and their failures are counted by reason.
+// listen returns a listener that accepts the connections of ln once they are
+// secured and counted. The handshakes run concurrently, so that a peer that
+// stalls in one doesn't delay others, and their failures are counted by reason.
 func (m *Mesh) listen(ctx context.Context, ln net.Listener) net.Listener {
 	l := &readyListener{
 		Listener: ln,
@@ -97,8 +97,8 @@
 	}
 }
 
-// acceptPause is the wait after a failed accept, such as one for want of file
-// descriptors, so that it doesn't spin.
+// acceptPause is the wait after a failed accept, such as for lack of file
+// descriptors, so that the loop doesn't spin.
 const acceptPause = 10 * time.Millisecond
 
 // secure makes conn ready for Accept, or closes it.
@@ -119,7 +119,7 @@
 	}
 }
 
-// Accept returns the next connection that is ready.
+// Accept returns the next connection whose handshake is complete.
 func (l *readyListener) Accept() (net.Conn, error) {
 	select {
 	case conn := <-l.ready:
@@ -129,7 +129,7 @@
 	}
 }
 
-// loopback reports whether address is an IP address and port of loopback.
+// loopback reports whether address is a loopback IP address with a port.
 func loopback(address string) bool {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
--- a/bronzelink/handshake.go
+++ b/bronzelink/handshake.go
@@ -26,10 +26,10 @@
 	errHandshake   = errors.New("TLS handshake failed")
 )
 
-// discardLog drops what net/http logs: failures are counted by reason.
+// discardLog drops the log of net/http: failures are counted by reason instead.
 var discardLog = log.New(io.Discard, "", 0)
 
-// setupReason returns the reason to count for an error while a link is set up.
+// setupReason returns the reason to count for an error in the setup of a link.
 func setupReason(err error) string {
 	switch {
 	case errors.Is(err, ErrPlainNotLoopback):
@@ -45,7 +45,7 @@
 	}
 }
 
-// versions returns the versions that this node speaks.
+// versions returns the versions that this node supports.
 func (m *Mesh) versions() []uint8 {
 	if len(m.Versions) > 0 {
 		return m.Versions
@@ -70,7 +70,7 @@
 	return version, nil
 }
 
-// connect opens the connection of l to a peer and exchanges hellos.
+// connect opens the connection of l to a peer and exchanges hellos with it.
 func (m *Mesh) connect(l *link, to Member) (err error) {
 	defer annotate(&err, "opening a link to "+to.Name+" at "+to.ControlAddress)
 	ctx, cancel := context.WithTimeout(m.ctx, m.setupTimeout())
@@ -107,7 +107,7 @@
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// dialWebSocket makes conn a WebSocket connection.
+// dialWebSocket upgrades conn to a WebSocket connection.
 func dialWebSocket(ctx context.Context, conn net.Conn) (ws *websocket.Conn, err error) {
 	transport := &http.Transport{
 		DialContext: func(context.Context, string, string) (net.Conn, error) { return conn, nil },
@@ -117,7 +117,7 @@
 	return ws, err
 }
 
-// clientHello is the dialer's half of the hellos.
+// clientHello is the dialer's side of the hello exchange.
 func (m *Mesh) clientHello(ctx context.Context, l *link, ws *websocket.Conn, conn net.Conn, name string) error {
 	ws.SetReadLimit(MaxMessageBytes)
 	self := m.self()
@@ -137,7 +137,7 @@
 	return l.establish(ws, hello, self.Name, m)
 }
 
-// accept is the handler of the listener's side.
+// accept handles the WebSocket requests of dialers.
 func (m *Mesh) accept(w http.ResponseWriter, r *http.Request) {
 	raw, ok := r.Context().Value(connKey{}).(*countedConn)
 	if !ok || r.URL.Path != linkPath {
@@ -189,16 +189,16 @@
 	return websocket.StatusPolicyViolation
 }
 
-// maxCloseReason is what fits into a WebSocket close frame.
+// maxCloseReason is a length in bytes that fits into a WebSocket close frame.
 const maxCloseReason = 120
 
-// closeReason returns the reason that a refused peer is told.
+// closeReason returns the reason that is sent to a refused peer.
 func closeReason(err error) string {
 	s := err.Error()
 	return s[:min(len(s), maxCloseReason)]
 }
 
-// serverHello is the listener's half of the hellos.
+// serverHello is the listener's side of the hello exchange.
 func (m *Mesh) serverHello(l *link, ws *websocket.Conn, state *tls.ConnectionState) error {
 	ws.SetReadLimit(MaxMessageBytes)
 	ctx, cancel := context.WithTimeout(m.ctx, m.setupTimeout())
@@ -217,7 +217,7 @@
 	return l.establish(ws, hello, hello.Member.Name, m)
 }
 
-// establish fills in what the hellos settled.
+// establish sets the fields of l that follow from the hellos.
 func (l *link) establish(ws *websocket.Conn, hello *Hello, dialer string, m *Mesh) (err error) {
 	l.version, err = commonVersion(m.versions(), hello.Versions)
 	l.conn, l.peer, l.dialer = ws, hello.Member, dialer
@@ -252,7 +252,7 @@
 	return msg.Hello, nil
 }
 
-// checkHello checks the hello of the peer at the other end of conn.
+// checkHello checks the hello of the peer on conn.
 func (m *Mesh) checkHello(h *Hello, self Member, conn net.Conn) error {
 	t, ok := conn.(*tls.Conn)
 	if !ok {
@@ -262,7 +262,8 @@
 	return m.checkPeer(h, self, &state)
 }
 
-// checkPeer checks a hello against this node and the peer's certificate.
+// checkPeer checks a hello against this node's settings and the peer's
+// certificate.
 func (m *Mesh) checkPeer(h *Hello, self Member, state *tls.ConnectionState) error {
 	if h.Fleet != m.Fleet {
 		return errors.Wrap(ErrFleet, h.Fleet)
--- a/bronzelink/link.go
+++ b/bronzelink/link.go
@@ -9,22 +9,23 @@
 	"github.com/pkg/errors"
 )
 
-// livenessChecks is how often a link is looked at in one liveness deadline.
+// livenessChecks is the number of times that a link is checked in one liveness
+// deadline.
 const livenessChecks = 3
 
-// errIdle and errDuplicate end links that did nothing wrong.
+// Reasons for closing a link that are no failures.
 var (
 	errIdle      = errors.New("link is idle")
 	errDuplicate = errors.New("there is another link to the peer")
 	errFinished  = errors.New("link is finished")
 )
 
-// link is one connection to a peer, or the attempt to open one.
+// link is a connection to a peer, or an attempt to open one.
 type link struct {
 	mesh  *Mesh
 	queue chan []byte
 	done  chan struct{} // closed when the link has ended
-	flush chan struct{} // closed when the writer is to empty the queue and stop
+	flush chan struct{} // closed to make the writer empty the queue and stop
 
 	endOnce    sync.Once
 	finishOnce sync.Once
@@ -52,9 +53,9 @@
 	}
 }
 
-// push queues an encoded message. A peer that doesn't read fills its own
-// queue only, so it delays no other peer; what doesn't fit is dropped, and
-// whoever needs an answer asks again.
+// push queues an encoded message. A peer that doesn't read fills only its own
+// queue, so it delays no other peer. Messages that don't fit are dropped; a
+// sender that needs an answer repeats its request.
 func (l *link) push(b []byte) error {
 	select {
 	case l.queue <- b:
@@ -65,7 +66,7 @@
 	}
 }
 
-// moveTo gives the messages that still wait to the link other.
+// moveTo moves the queued messages to the link other.
 func (l *link) moveTo(other *link) {
 	for {
 		select {
@@ -77,7 +78,7 @@
 	}
 }
 
-// end closes the link because of err; only the first call counts.
+// end ends the link because of err. Only the first call has an effect.
 func (l *link) end(err error) {
 	l.endOnce.Do(func() {
 		l.err = err
@@ -85,15 +86,15 @@
 	})
 }
 
-// finish lets the writer send what is queued and end the link.
+// finish makes the writer send what is queued and then end the link.
 func (l *link) finish() { l.finishOnce.Do(func() { close(l.flush) }) }
 
-// retire ends the link after messages on their way have arrived.
+// retire ends the link after duplicateGrace, so that messages in flight arrive.
 func (l *link) retire() {
 	time.AfterFunc(duplicateGrace, func() { l.end(errDuplicate) })
 }
 
-// touch notes that a message was sent or received.
+// touch records that a message is sent or received.
 func (l *link) touch() {
 	l.mu.Lock()
 	l.lastMessage = time.Now()
@@ -125,7 +126,8 @@
 	tasks.Wait()
 }
 
-// close ends the connection of l and tells why, if it was the current link.
+// close closes the connection of l. A failure is counted, and reported to OnLost
+// if l was the peer's current link.
 func (m *Mesh) close(l *link, current bool) {
 	switch {
 	case errors.Is(l.err, errIdle), errors.Is(l.err, errDuplicate), errors.Is(l.err, errFinished):
@@ -173,8 +175,8 @@
 	}
 }
 
-// writeOne sends one message. The deadline is what frees the link of a peer
-// that has stopped reading: without it the writer would wait for ever.
+// writeOne sends one message. The timeout ends the link of a peer that has
+// stopped reading, for which the writer would otherwise wait forever.
 func (l *link) writeOne(ctx context.Context, b []byte) error {
 	timer := time.AfterFunc(l.mesh.writeTimeout(), func() { l.end(ErrWriteTimeout) })
 	defer timer.Stop()
@@ -182,7 +184,7 @@
 	return l.conn.Write(ctx, websocket.MessageBinary, b)
 }
 
-// read hands on messages until the link ends.
+// read passes received messages to OnMessage until the link ends.
 func (l *link) read(ctx context.Context) error {
 	for {
 		_, b, err := l.conn.Read(ctx)
@@ -201,10 +203,10 @@
 	}
 }
 
-// watch ends the link when it is idle or silent. A connection whose state was
-// lost somewhere between the ends stays open for hours as far as TCP knows,
-// and messages vanish; a peer that is there answers a ping with bytes, so
-// their absence for a whole deadline is enough to tell.
+// watch ends the link when it is idle or silent. If a device between the two
+// ends loses the state of a connection, TCP keeps it open for hours while
+// messages are lost. A peer that is alive answers a ping, so a liveness deadline
+// without any bytes from it means that the link has failed.
 func (l *link) watch(ctx context.Context) error {
 	deadline := l.mesh.liveness()
 	ticker := time.NewTicker(deadline / livenessChecks)
@@ -233,7 +235,7 @@
 	}
 }
 
-// ping asks the peer for a sign of life; any byte from it will do.
+// ping sends a ping to the peer. Its answer is noticed as received bytes.
 func (l *link) ping(ctx context.Context, deadline time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, deadline)
 	defer cancel()
--- a/bronzelink/mesh.go
+++ b/bronzelink/mesh.go
@@ -17,28 +17,28 @@
 	ErrClosed           = errors.New("mesh is closed")
 	ErrNoAddress        = errors.New("peer has no control address")
 	ErrPlainNotLoopback = errors.New("links without certificates are for loopback addresses only")
-	ErrQueueFull        = errors.New("queue of the link is full")
-	ErrSilent           = errors.New("link went silent")
-	ErrWriteTimeout     = errors.New("peer doesn't read")
+	ErrQueueFull        = errors.New("send queue of the link is full")
+	ErrSilent           = errors.New("no data from the peer within the liveness deadline")
+	ErrWriteTimeout     = errors.New("writing to the peer timed out")
 )
 
-// Reasons that Mesh.Count is called with.
+// Reasons passed to Mesh.Count.
 const (
 	CountDialFailed    = "LinkDialFailed"    // no connection to a peer's address
-	CountTLSRefused    = "LinkTLSRefused"    // no certificate from our CA, or none that fits
-	CountHelloRefused  = "LinkHelloRefused"  // another fleet, version or name
+	CountTLSRefused    = "LinkTLSRefused"    // no certificate from the CA, or not for the peer's name
+	CountHelloRefused  = "LinkHelloRefused"  // another fleet, no common version, or another failure of the hellos
 	CountNameTaken     = "LinkNameTaken"     // the peer uses this node's name
-	CountPlainRefused  = "LinkPlainRefused"  // plain mode away from loopback
-	CountQueueFull     = "LinkQueueFull"     // a message dropped, the peer is too slow
+	CountPlainRefused  = "LinkPlainRefused"  // no certificates and not a loopback address
+	CountQueueFull     = "LinkQueueFull"     // a message was dropped, the peer is too slow
 	CountSilent        = "LinkSilent"        // closed by the liveness deadline
-	CountBadMessage    = "LinkBadMessage"    // closed because of what it carried
+	CountBadMessage    = "LinkBadMessage"    // closed because a message couldn't be decoded
 	CountWriteTimeout  = "LinkWriteTimeout"  // closed because a write took too long
-	CountDuplicate     = "LinkDuplicate"     // one of two links to one peer retired
-	CountReloadFailed  = "LinkReloadFailed"  // changed certificate files can't be used
+	CountDuplicate     = "LinkDuplicate"     // one of two links to one peer was retired
+	CountReloadFailed  = "LinkReloadFailed"  // changed certificate files couldn't be used
 	CountTooManySetups = "LinkTooManyDialed" // too many connections being set up
 )
 
-// The defaults of Mesh's fields.
+// Defaults of the fields of Mesh.
 const (
 	DefaultIdle         = 30 * time.Second
 	DefaultLiveness     = 3 * time.Second
@@ -48,29 +48,29 @@
 )
 
 const (
-	// maxSetups bounds the connections that are being set up at once in
-	// each direction, so that a storm of them after a partition costs neither
-	// memory nor a burst of handshakes.
+	// maxSetups bounds the concurrent connection setups in each direction, so
+	// that many of them after a partition cause neither high memory use nor a
+	// burst of handshakes.
 	maxSetups = 32
-	// duplicateGrace is how long the worse of two links to one peer is still
-	// read from, so that messages on their way are not lost.
+	// duplicateGrace is how long the retired one of two links to one peer is
+	// still read from, so that messages in flight are not lost.
 	duplicateGrace = time.Second
 	// linkPath is the request path of the WebSocket handshake.
 	linkPath = "/link"
 )
 
-// Mesh keeps the links of one node to its peers: one for each peer that
+// Mesh maintains the links of one node to its peers: one for each peer that
 // messages are sent to or come from, opened on demand and closed when idle.
 // Its fields must not change after the first use; a zero duration or length
-// means the default. Without certificate files it links loopback addresses
-// only.
+// means the default. Without certificate files it uses no TLS and accepts
+// loopback addresses only.
 type Mesh struct {
-	// Self returns what this node says of itself.
+	// Self returns this node's own state, which is sent in its hellos.
 	Self func() Member
 	// Fleet is the name of the fleet; peers of another one are refused.
 	Fleet string
-	// Versions are the versions of the protocol spoken, VersionMin to
-	// VersionMax if empty.
+	// Versions are the supported protocol versions, VersionMin to VersionMax
+	// if empty.
 	Versions []uint8
 
 	// CertFile, KeyFile and CAFile are PEM files that are read again when they
@@ -79,14 +79,14 @@
 
 	// Idle is the time without messages after which a link is closed.
 	Idle time.Duration
-	// Liveness is the time without any byte from the peer, though it was
-	// pinged, after which a link is closed.
+	// Liveness is the time without any bytes from the peer, which is pinged
+	// meanwhile, after which a link is closed.
 	Liveness time.Duration
 	// SetupTimeout bounds dialing and the handshakes together.
 	SetupTimeout time.Duration
 	// WriteTimeout bounds the writing of one message.
 	WriteTimeout time.Duration
-	// QueueLength is the number of messages that wait for one peer at most.
+	// QueueLength is the maximum number of messages queued for one peer.
 	QueueLength int
 
 	// OnMessage is called for each message from the peer of that name, one at
@@ -96,8 +96,8 @@
 	// opened, with the peer's name, or its address if no name is known. The
 	// error is ErrNameTaken if the peer knows another node of this name.
 	OnLost func(name string, err error)
-	// Accept may refuse a peer after its Hello was checked, with ErrNameTaken
-	// if another node of its name is alive.
+	// Accept may refuse a peer after its Hello was checked. It returns
+	// ErrNameTaken if another node with the peer's name is alive.
 	Accept func(peer Member) error
 	// Count is called with the reason of each refusal and failure.
 	Count func(reason string)
@@ -118,7 +118,7 @@
 	open   sync.WaitGroup
 }
 
-// init prepares the zero value on first use.
+// init initializes the zero value on first use.
 func (m *Mesh) init() {
 	m.once.Do(func() {
 		m.ctx, m.cancel = context.WithCancel(context.Background())
@@ -137,7 +137,7 @@
 func (m *Mesh) BytesReceived() uint64 { return m.received.Load() }
 
 // Send queues msg for the peer to, whose name may be empty if only its control
-// address is known. It doesn't wait: a link is opened if there is none, and
+// address is known. It doesn't block: a link is opened if there is none, and
 // msg is dropped if that fails. The errors are ErrClosed, ErrNoAddress,
 // ErrQueueFull and those of Encode.
 func (m *Mesh) Send(to Member, msg *Message) (err error) {
@@ -182,7 +182,7 @@
 	return l, nil
 }
 
-// dial opens l and then leaves it to a goroutine of its own.
+// dial opens l and then runs it in a goroutine of its own.
 func (m *Mesh) dial(l *link, key string, to Member) {
 	err := m.connect(l, to)
 	if err != nil {
@@ -230,7 +230,8 @@
 	return err
 }
 
-// Close sends what is queued, for at most WriteTimeout, and closes all links.
+// Close sends the queued messages, for at most WriteTimeout, and closes all
+// links.
 func (m *Mesh) Close() error {
 	m.init()
 	m.mu.Lock()
@@ -264,9 +265,10 @@
 	return len(m.links)
 }
 
-// register makes l the link to its peer. Where two nodes dial each other at
-// the same moment, both keep the link that the lower name dialed; otherwise
-// the newer link is kept, because the peer replaced one that it held as lost.
+// register makes l the link to its peer. If two nodes dial each other at the
+// same time, both keep the link that the node with the lower name dialed.
+// Otherwise the newer link is kept, because the peer has opened it to replace a
+// link that it considered lost.
 func (m *Mesh) register(l *link) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -296,7 +298,8 @@
 	return nil
 }
 
-// removeLink removes l from the links and reports whether it was there under key.
+// removeLink removes l from the links and reports whether it was there under
+// key.
 func (m *Mesh) removeLink(key string, l *link) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/bronzelink/tls.go
+++ b/bronzelink/tls.go
@@ -12,10 +12,11 @@
 	"github.com/pkg/errors"
 )
 
-// reloadInterval is the least time between two looks at the files.
+// reloadInterval is the minimum time between two checks of the files.
 const reloadInterval = time.Second
 
-// certificates holds this node's certificate and the CA that peers need.
+// certificates holds this node's certificate and the CA that peers'
+// certificates must come from.
 type certificates struct {
 	files [3]string // certificate, key, CA
 	count func(reason string)
@@ -27,7 +28,7 @@
 	roots     *x509.CertPool
 }
 
-// enabled reports whether files are configured.
+// enabled reports whether certificate files are configured.
 func (c *certificates) enabled() bool { return c.files != [3]string{} }
 
 // check reads the files for the first time.
@@ -39,9 +40,9 @@
 	return err
 }
 
-// current returns the certificate and roots. It reads the files again when
-// one of them changed. If they can't be used it goes on with the old ones:
-// otherwise a half-written file during a renewal would cut the node off.
+// current returns the certificate and roots. It reads the files again if one of
+// them changed. If they can't be used, it keeps the old ones: otherwise a
+// half-written file during a renewal would disconnect the node.
 func (c *certificates) current() (cert *tls.Certificate, roots *x509.CertPool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -102,8 +103,8 @@
 	return nil
 }
 
-// secureServer returns the listener's side of conn, counted, and after the
-// TLS handshake if there is one.
+// secureServer returns the listener's side of conn with its bytes counted, after
+// the TLS handshake if TLS is enabled.
 func (m *Mesh) secureServer(ctx context.Context, conn net.Conn) (net.Conn, error) {
 	counted := m.counted(conn)
 	if !m.tls.enabled() {
@@ -128,9 +129,9 @@
 	return t, nil
 }
 
-// secureClient returns the dialer's side of conn, after the TLS handshake if
-// there is one. The chain is verified here; the name is verified against the
-// peer's hello, because a seed's name isn't known before.
+// secureClient returns the dialer's side of conn, after the TLS handshake if TLS
+// is enabled. The chain is verified here; the name is verified when the peer's
+// hello arrives, because a seed's name isn't known before.
 func (m *Mesh) secureClient(ctx context.Context, conn net.Conn, name string) (net.Conn, error) {
 	if !m.tls.enabled() {
 		return conn, nil
@@ -143,7 +144,7 @@
 		MinVersion:         tls.VersionTLS13,
 		Certificates:       []tls.Certificate{*cert},
 		ServerName:         name,
-		InsecureSkipVerify: true, // VerifyConnection takes its place
+		InsecureSkipVerify: true, // VerifyConnection verifies the chain instead
 		VerifyConnection:   func(state tls.ConnectionState) error { return verifyChain(state, roots) },
 	})
 	if err = t.HandshakeContext(ctx); err != nil {
