--- a/bronzefleet/bytes_test.go
+++ b/bronzefleet/bytes_test.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// frameBytes is what TLS and WebSocket add to one message: a record's
-	// header, type and tag, and a frame's header and mask.
+	// frameBytes is the overhead of TLS and WebSocket on one message: a
+	// record's header, type and tag, and a frame's header and mask.
 	frameBytes = 22 + 8
-	// replaceEvery is the time between replacements: 1,800 a day.
-	replaceEvery = 48 * time.Second
-	// sharedServers is how many servers' loads each node shares.
+	// replaceInterval is the time between replacements: 1,800 a day.
+	replaceInterval = 48 * time.Second
+	// sharedServers is the number of servers whose load each node shares.
 	sharedServers = 18
 )
 
@@ -36,8 +36,8 @@
 	return v
 }
 
-// prime makes size nodes that know each other already, and starts them.
-func (n *network) prime(size int) []*testNode {
+// startJoined starts size nodes that know each other from the beginning.
+func (n *network) startJoined(size int) []*testNode {
 	var nodes []*testNode
 	for i := range size {
 		nodes = append(nodes, n.add(testMember(i)))
@@ -59,7 +59,7 @@
 	return nodes
 }
 
-// shareLoads lets each node share its load once a second for d.
+// shareLoads makes each node share its load once a second for d.
 func shareLoads(nodes []*testNode, d time.Duration) {
 	for round := range int(d / time.Second) {
 		for i, p := range nodes {
@@ -70,7 +70,7 @@
 	synctest.Wait()
 }
 
-// testLoad is a load of which each count changes with each round.
+// testLoad returns a load whose counts all change with each round.
 func testLoad(node, round int) (l bronzelink.Load) {
 	for s := range sharedServers {
 		l.Owned = append(l.Owned, bronzelink.LoadItem{
@@ -82,15 +82,15 @@
 	return l
 }
 
-// traffic is what one node sends and receives in a second on average, with the
-// highest node's beside it.
+// traffic is the mean number of bytes that one node sends and receives per
+// second, and the highest number that any node sends.
 type traffic struct{ sent, received, highest int }
 
 // measure returns the traffic of the nodes while run runs for d.
 func (n *network) measure(nodes []*testNode, d time.Duration, run func()) (t traffic) {
 	n.mu.Lock()
 	for _, p := range nodes {
-		p.sent, p.got = 0, 0
+		p.sent, p.received = 0, 0
 	}
 	n.mu.Unlock()
 	run()
@@ -99,7 +99,7 @@
 	seconds := int(d / time.Second)
 	for _, p := range nodes {
 		t.sent += p.sent / seconds
-		t.received += p.got / seconds
+		t.received += p.received / seconds
 		t.highest = max(t.highest, p.sent/seconds)
 	}
 	t.sent /= len(nodes)
@@ -107,8 +107,9 @@
 	return t
 }
 
-// known returns the share of pairs of nodes in which one has the other's load,
-// and its age on average in rounds of one second, after the last of rounds.
+// known returns the share of ordered pairs of nodes in which one has the other's
+// load, and the mean age of these loads in rounds of one second, after the given
+// number of rounds.
 func known(nodes []*testNode, rounds int) (share, age float64) {
 	pairs := 0
 	for _, p := range nodes {
@@ -135,14 +136,14 @@
 	nodes[i] = p.start()
 }
 
-// A BackendServer begins to drain, and the one balancer that polls it sees that.
-// The others would open new flows there until they know, which must not take
-// longer than three seconds, though 40 balancers have byte budget for one Load
-// each in eight seconds only.
-func TestLeavingServerIsKnownSoon(t *testing.T) {
+// A BackendServer begins to drain, which only the balancer that polls it knows
+// from the server. The others open new flows there until they know too, which
+// must not take longer than three seconds, though the byte budget of 40 balancers
+// is enough for only one Load of each in eight seconds.
+func TestLeavingServerLatency(t *testing.T) {
 	t.Parallel()
-	bubble(t, func(t *testing.T, n *network) {
-		nodes := n.prime(40)
+	runInBubble(t, func(t *testing.T, n *network) {
+		nodes := n.startJoined(40)
 		known := 0 // guarded by n.mu
 		for _, p := range nodes {
 			p.OnLoad = func(l *bronzelink.Load) {
@@ -184,22 +185,22 @@
 		{7, 48 * time.Second, 4 << 10, 4 << 10, 1, 2},
 		{40, 48 * time.Second, 4 << 10, 4 << 10, 1, 8},
 		{82, 48 * time.Second, 4 << 10, 4 << 10, 1, 16},
-		// 107 s from one Load of an origin to its next are more than the test.
+		// At this size an origin sends a Load every 107 s, longer than the test.
 		{490, 48 * time.Second, 4 << 10, 4 << 10, 0.7, 48},
 	} {
 		if testing.Short() && c.size > 82 {
 			continue
 		}
-		bubble(t, func(t *testing.T, n *network) {
-			nodes := n.prime(c.size)
+		runInBubble(t, func(t *testing.T, n *network) {
+			nodes := n.startJoined(c.size)
 			shareLoads(nodes, 4*time.Second)
 			steady := n.measure(nodes, c.duration, func() { shareLoads(nodes, c.duration) })
 			share, age := known(nodes, int(c.duration/time.Second))
 			require.Zero(t, n.counted(CountSuspected))
 			rest := nodes[1:]
-			replaced := n.measure(rest, replaceEvery, func() {
+			replaced := n.measure(rest, replaceInterval, func() {
 				n.replaceOne(nodes, 0)
-				shareLoads(nodes, replaceEvery)
+				shareLoads(nodes, replaceInterval)
 			})
 			t.Logf("%d nodes: steady %+v, with one replaced %+v, loads known %.2f, %.1f s old, lists exchanged %d",
 				c.size, steady, replaced, share, age, n.counted(CountSynced))
--- a/bronzefleet/fleet_test.go
+++ b/bronzefleet/fleet_test.go
@@ -11,8 +11,8 @@
 	"bronzeusher.example/bronzeusher/bronzelink"
 )
 
-// sameOrders requires that the nodes agree on the owners of all slots.
-func sameOrders(t *testing.T, nodes []*testNode) {
+// requireSameOrders requires that the nodes agree on the orders of all slots.
+func requireSameOrders(t *testing.T, nodes []*testNode) {
 	t.Helper()
 	for slot := range Slots {
 		hash := uint64(slot) << slotShift
@@ -24,8 +24,8 @@
 	}
 }
 
-func TestSingleNodeIsReadyAfterJoinWait(t *testing.T) {
-	bubble(t, func(t *testing.T, n *network) {
+func TestJoinSingleNode(t *testing.T) {
+	runInBubble(t, func(t *testing.T, n *network) {
 		p := n.add(testMember(0)).start()
 		time.Sleep(DefaultJoinWait / 2)
 		require.False(t, p.View().Ready)
@@ -36,12 +36,13 @@
 	})
 }
 
-// A balancer's VM dies. Callers whose flows it owned wait until the others have
-// found out: its monitors get no answer, ask others, suspect it, and declare it
-// dead when it doesn't refute. Until the time limit the fleet may be split, since
-// nobody can tell a dead VM from one that is cut off.
-func TestKilledNodeIsDeclaredDead(t *testing.T) {
-	bubble(t, func(t *testing.T, n *network) {
+// The VM of a balancer dies. Callers whose flows it owned wait until the others
+// have detected that: its monitors get no answer, ask other members to check it,
+// suspect it, and declare it dead when it doesn't refute. For PartitionTimeout
+// the fleet counts as partitioned, since a dead VM can't be told from one that is
+// unreachable.
+func TestKilledNode(t *testing.T) {
+	runInBubble(t, func(t *testing.T, n *network) {
 		nodes := n.startAll(7)
 		nodes[3].kill()
 		time.Sleep(6 * time.Second)
@@ -50,17 +51,17 @@
 			require.NotContains(t, p.View().Members, nodes[3].Self.Name)
 			require.True(t, p.View().Partitioned)
 		}
-		sameOrders(t, rest)
+		requireSameOrders(t, rest)
 		time.Sleep(DefaultPartitionTimeout)
 		require.False(t, rest[0].View().Partitioned)
 	})
 }
 
-// A balancer's process dies while its VM goes on, so connections to it are
-// refused. The first refusal makes its monitors ask others, who are refused too,
-// and so it is declared dead sooner than one that is silent.
-func TestCrashedNodeIsDeclaredDeadSooner(t *testing.T) {
-	bubble(t, func(t *testing.T, n *network) {
+// The process of a balancer dies while its VM keeps running, so connections to
+// it are refused. The first refusal makes its monitors ask other members, which
+// are refused too, so it is declared dead sooner than a silent one.
+func TestCrashedNode(t *testing.T) {
+	runInBubble(t, func(t *testing.T, n *network) {
 		nodes := n.startAll(7)
 		nodes[3].crash()
 		took := awaitMembers(slices.Concat(nodes[:3], nodes[4:]), 6)
@@ -69,17 +70,18 @@
 	})
 }
 
-// One zone of four is cut off from the others. Most of the members that a node
-// can no longer reach lie behind others on its rings, so it has to monitor more
-// of them; both sides know who is cut off within the bound, in which flows that
-// those own wait. The lists are the same again soon after the cut heals, without
-// a member given up on the way, and neither takes more than a few kilobytes a
-// second from any node.
-func TestZoneIsCutOffAndComesBack(t *testing.T) {
+// One zone of four is partitioned from the others. Most of the members that a
+// node can no longer reach come after others on its rings, so it has to monitor
+// more of them. Both sides detect within the bound which members are
+// unreachable; until then the flows that those own wait. Soon after the
+// partition heals the member lists are the same again, without a member declared
+// dead meanwhile. In both phases no node sends more than a few kilobytes per
+// second.
+func TestPartitionTraffic(t *testing.T) {
 	t.Parallel()
 	const size = 82
-	bubble(t, func(t *testing.T, n *network) {
-		nodes := n.prime(size)
+	runInBubble(t, func(t *testing.T, n *network) {
+		nodes := n.startJoined(size)
 		time.Sleep(5 * time.Second)
 		var zone, rest []*testNode
 		for _, p := range nodes {
@@ -100,14 +102,14 @@
 		})
 		died := n.counted(CountDied)
 		for _, p := range nodes {
-			p.seen()
+			p.takeViews()
 		}
 		n.block(nil)
 		heal := n.measure(nodes, time.Minute, func() {
 			healed = awaitMembers(nodes, size)
 			time.Sleep(time.Minute - healed)
 		})
-		t.Logf("cut known after %v %+v, healed after %v %+v", detected, cut, healed, heal)
+		t.Logf("partition detected after %v %+v, healed after %v %+v", detected, cut, healed, heal)
 		require.LessOrEqual(t, detected, 30*time.Second)
 		require.LessOrEqual(t, healed, 20*time.Second)
 		require.LessOrEqual(t, cut.highest, 6<<10)
@@ -119,11 +121,10 @@
 	})
 }
 
-// A balancer leaves gracefully and nothing breaks: it tells its neighbours, is
-// asked for the flows it owned while it stays, and is forgotten without ever
-// being suspected.
+// A balancer leaves gracefully: it tells its neighbours, is named as the previous
+// owner of its slots while it is leaving, and is removed without being suspected.
 func TestLeave(t *testing.T) {
-	bubble(t, func(t *testing.T, n *network) {
+	runInBubble(t, func(t *testing.T, n *network) {
 		nodes := n.startAll(7)
 		name := nodes[2].Self.Name
 		require.NoError(t, nodes[2].Leave(t.Context()))
@@ -146,12 +147,13 @@
 	})
 }
 
-// A zone is cut off for a minute. Each side declares the other dead and goes on,
-// knowing that the fleet may be split. When the cut heals, all members are back
-// within seconds, all nodes agree on the owners again, no live member is given
-// up by anybody on the way, and all slots ask the former owners of both sides.
+// A zone is partitioned from the others for a minute. Each side declares the
+// other dead and continues, with views marked as partitioned. After the partition
+// heals, all members are back within seconds, all nodes agree on the owners, no
+// node declares a live member dead meanwhile, and all slots are unsettled, so
+// that the previous owners on both sides are asked.
 func TestPartitionAndHeal(t *testing.T) {
-	bubble(t, func(t *testing.T, n *network) {
+	runInBubble(t, func(t *testing.T, n *network) {
 		nodes := n.startAll(8)
 		n.block(func(from, to bronzelink.Member) bool {
 			return (from.AvailabilityZone == "riga-a") != (to.AvailabilityZone == "riga-a")
@@ -163,12 +165,12 @@
 		require.True(t, nodes[1].View().Partitioned)
 		died := n.counted(CountDied)
 		for _, p := range nodes {
-			p.seen()
+			p.takeViews()
 		}
 		n.block(nil)
 		time.Sleep(20 * time.Second)
 		require.Equal(t, died, n.counted(CountDied))
-		sameOrders(t, nodes)
+		requireSameOrders(t, nodes)
 		for _, p := range nodes {
 			require.Len(t, p.View().Members, 8)
 			require.False(t, p.View().Partitioned)
@@ -178,40 +180,42 @@
 	})
 }
 
-// requireNoFlap requires that no member went away in the views of p.
+// requireNoFlap requires that no member disappeared from one view of p to the
+// next.
 func requireNoFlap(t *testing.T, p *testNode) {
 	t.Helper()
-	views := p.seen()
+	views := p.takeViews()
 	for i := 1; i < len(views); i++ {
 		for name := range views[i-1].Members {
 			if _, ok := views[i].Members[name]; !ok {
-				require.Fail(t, "member went away", "%s at %s", name, p.Self.Name)
+				require.Fail(t, "member disappeared", "%s from a view of %s", name, p.Self.Name)
 			}
 		}
 	}
 }
 
-// An owner's VM is frozen for 20 seconds; the others declare it dead and own its
-// slots. When it wakes, its lease is over before it looks at a packet; its first
-// round fences it until a peer has told it that it was dead. It comes back
-// under a new incarnation, and its own slots ask those that owned them meanwhile.
-func TestPausedNodeIsFenced(t *testing.T) {
-	bubble(t, func(t *testing.T, n *network) {
+// The VM of an owner is paused for 20 seconds; the others declare it dead and
+// take over its slots. When it resumes, its lease has expired before it handles a
+// packet, and its first tick fences it until a peer has told it that it was dead.
+// It returns under a new incarnation, and its own slots are unsettled, so that
+// their owners during the pause are asked.
+func TestPausedNode(t *testing.T) {
+	runInBubble(t, func(t *testing.T, n *network) {
 		nodes := n.startAll(7)
 		p := nodes[4]
 		p.pause()
 		time.Sleep(20 * time.Second)
 		require.NotContains(t, nodes[0].View().Members, p.Self.Name)
 		require.True(t, time.Now().After(p.Lease()))
-		p.seen()
+		p.takeViews()
 		p.wake()
 		time.Sleep(5 * time.Second)
-		require.True(t, p.seen()[0].Fenced)
+		require.True(t, p.takeViews()[0].Fenced)
 		require.False(t, p.View().Fenced)
 		require.True(t, time.Now().Before(p.Lease()))
 		require.Zero(t, p.counted(CountSuspected))
 		require.Zero(t, p.counted(CountFenceUnanswered))
-		sameOrders(t, nodes)
+		requireSameOrders(t, nodes)
 		for slot := range Slots {
 			hash := uint64(slot) << slotShift
 			if p.View().Owner(hash) == p.Self.Name {
@@ -221,11 +225,11 @@
 	})
 }
 
-// One monitor of a member no longer gets its answers, as when a link went silent
-// one way. It asks others, who reach the member, so the member is not even
-// suspected and keeps its flows.
-func TestOneAccuserKillsNobody(t *testing.T) {
-	bubble(t, func(t *testing.T, n *network) {
+// One monitor of a member no longer receives its answers, as when a link fails in
+// one direction. It asks other members, which reach the member, so the member
+// isn't declared dead and keeps its flows.
+func TestOneWayLinkFailure(t *testing.T) {
+	runInBubble(t, func(t *testing.T, n *network) {
 		nodes := n.startAll(7)
 		watched := nodes[0].targets()[0].Name
 		n.block(func(from, to bronzelink.Member) bool {
@@ -240,13 +244,13 @@
 	})
 }
 
-// A node hears nobody, though its own messages arrive. It suspects everybody and
-// says so; those that it names refute, and nobody else gives up a member.
-func TestDeafNodeKillsNobody(t *testing.T) {
-	bubble(t, func(t *testing.T, n *network) {
+// A node receives nothing, though its own messages arrive. It suspects all other
+// members and spreads that; they refute, and no other node declares one dead.
+func TestNodeWithoutInboundMessages(t *testing.T) {
+	runInBubble(t, func(t *testing.T, n *network) {
 		nodes := n.startAll(7)
-		deaf := nodes[6].Self.Name
-		n.block(func(_, to bronzelink.Member) bool { return to.Name == deaf })
+		isolated := nodes[6].Self.Name
+		n.block(func(_, to bronzelink.Member) bool { return to.Name == isolated })
 		time.Sleep(time.Minute)
 		for _, p := range nodes[:6] {
 			for _, o := range nodes[:6] {
@@ -257,10 +261,10 @@
 }
 
 // Two processes are started under one name by mistake. The second finds the
-// first alive and waits, without owning anything; when the first is gone, it
-// takes the name over. If the first stays, the second ends with ErrNameTaken.
-func TestTwoProcessesUnderOneName(t *testing.T) {
-	bubble(t, func(t *testing.T, n *network) {
+// first alive and waits without owning slots; when the first is gone, it takes
+// over the name. If the first stays, the second ends with ErrNameTaken.
+func TestJoinNameTaken(t *testing.T) {
+	runInBubble(t, func(t *testing.T, n *network) {
 		nodes := n.startAll(7)
 		second := testMember(9)
 		second.Name = nodes[1].Self.Name
@@ -287,11 +291,12 @@
 	})
 }
 
-// A balancer starts while the platform lists a VM that is gone and lacks one that
-// lives, and its peers have a newer configuration. It isn't ready, and nobody
-// gives it flows, before it has the peers' list and their configuration.
-func TestJoinWithColdPlatform(t *testing.T) {
-	bubble(t, func(t *testing.T, n *network) {
+// A balancer starts while the platform's list contains a VM that is gone and
+// lacks some that are alive, and its peers have a newer configuration. It isn't
+// ready, and the others don't know it as a member, before it has the peers' list
+// and their configuration.
+func TestJoinOutdatedVMList(t *testing.T) {
+	runInBubble(t, func(t *testing.T, n *network) {
 		nodes := n.startAll(5)
 		for _, p := range nodes {
 			p.SetRevision(7)
@@ -312,6 +317,6 @@
 		p.SetRevision(7)
 		require.True(t, p.View().Ready)
 		time.Sleep(time.Second)
-		sameOrders(t, append(nodes, p))
+		requireSameOrders(t, append(nodes, p))
 	})
 }
--- a/bronzefleet/network_test.go
+++ b/bronzefleet/network_test.go
@@ -15,8 +15,8 @@
 	"bronzeusher.example/bronzeusher/bronzelink"
 )
 
-// network joins fleets by in-memory links with random delays, so that messages
-// overtake each other. It runs in a synctest bubble.
+// network connects fleets by in-memory links with random delays, so that
+// messages are reordered. It runs in a synctest bubble.
 type network struct {
 	t       *testing.T
 	mu      sync.Mutex
@@ -29,17 +29,17 @@
 // testNode is one process on the network.
 type testNode struct {
 	*Fleet
-	net     *network
-	cancel  context.CancelFunc
-	result  chan error
-	stopped bool
-	refuses bool          // its address refuses connections
-	resume  chan struct{} // not nil while the process is paused
-	counts  map[string]int
-	sent    int
-	got     int
-	loads   map[string]int // the last round of each origin
-	views   []*View
+	net      *network
+	cancel   context.CancelFunc
+	result   chan error
+	stopped  bool
+	refuses  bool          // its address refuses connections
+	resume   chan struct{} // not nil while the process is paused
+	counts   map[string]int
+	sent     int
+	received int
+	loads    map[string]int // the last round received from each origin
+	views    []*View
 }
 
 func newNetwork(t *testing.T) *network {
@@ -99,7 +99,7 @@
 	return p
 }
 
-// kill stops a process without a word.
+// kill stops a process without a message to its peers.
 func (p *testNode) kill() {
 	p.net.mu.Lock()
 	p.stopped = true
@@ -107,7 +107,8 @@
 	p.cancel()
 }
 
-// crash ends a process whose VM stays, so that connections to it are refused.
+// crash ends a process whose VM keeps running, so that connections to it are
+// refused.
 func (p *testNode) crash() {
 	p.net.mu.Lock()
 	p.refuses = true
@@ -115,7 +116,7 @@
 	p.kill()
 }
 
-// pause stops the process from now on until wake: it neither sends nor reads.
+// pause pauses the process until wake: it neither sends nor receives.
 func (p *testNode) pause() {
 	p.net.mu.Lock()
 	defer p.net.mu.Unlock()
@@ -129,8 +130,8 @@
 	p.resume = nil
 }
 
-// await blocks while the process is paused.
-func (p *testNode) await() {
+// awaitResume blocks while the process is paused.
+func (p *testNode) awaitResume() {
 	p.net.mu.Lock()
 	resume := p.resume
 	p.net.mu.Unlock()
@@ -140,7 +141,7 @@
 }
 
 func (p *testNode) send(to bronzelink.Member, m *bronzelink.Message) error {
-	p.await()
+	p.awaitResume()
 	b, err := bronzelink.Encode(m)
 	require.NoError(p.net.t, err)
 	n := p.net
@@ -159,8 +160,8 @@
 	return nil
 }
 
-// find returns the process that answers at a member's address, or else by its
-// name, as an open link would.
+// find returns the process at a member's address or, as with an open link, the
+// one with its name.
 func (n *network) find(to bronzelink.Member) *testNode {
 	if p := n.nodes[to.ControlAddress]; p != nil {
 		return p
@@ -174,7 +175,7 @@
 }
 
 func (p *testNode) receive(from bronzelink.Member, b []byte) {
-	p.await()
+	p.awaitResume()
 	p.net.mu.Lock()
 	if p.refuses {
 		p.net.mu.Unlock()
@@ -182,7 +183,7 @@
 		return
 	}
 	lost := p.stopped || p.net.blocked != nil && p.net.blocked(from, p.Self)
-	p.got += len(b) + frameBytes
+	p.received += len(b) + frameBytes
 	p.net.mu.Unlock()
 	if lost {
 		return
@@ -196,7 +197,7 @@
 	p.Handle(from.Name, m)
 }
 
-// refuse tells a process that its link to the named peer was refused.
+// refuse reports to a process that its link to the named peer was refused.
 func (n *network) refuse(from bronzelink.Member, name string, err error) {
 	n.mu.Lock()
 	p := n.nodes[from.ControlAddress]
@@ -204,8 +205,8 @@
 	p.LinkLost(name, err)
 }
 
-// seen returns the views since the last call.
-func (p *testNode) seen() (views []*View) {
+// takeViews returns the views since the last call.
+func (p *testNode) takeViews() (views []*View) {
 	p.net.mu.Lock()
 	defer p.net.mu.Unlock()
 	views, p.views = p.views, nil
@@ -228,15 +229,15 @@
 	return sum
 }
 
-// block sets which messages are lost.
+// block drops the messages for which blocked returns true, or none if it is nil.
 func (n *network) block(blocked func(from, to bronzelink.Member) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.blocked = blocked
 }
 
-// startAll starts size nodes that have the first as their seed, and waits until
-// all know all.
+// startAll starts size nodes that have the first as their seed, waits, and
+// requires that all know each other.
 func (n *network) startAll(size int) []*testNode {
 	var nodes []*testNode
 	for i := range size {
@@ -253,8 +254,8 @@
 	return nodes
 }
 
-// awaitMembers waits until each of the nodes knows count members, and returns
-// how long that took; it gives up after a minute.
+// awaitMembers waits until each of the nodes knows count members, but at most a
+// minute, and returns how long it waited.
 func awaitMembers(nodes []*testNode, count int) time.Duration {
 	begin := time.Now()
 	all := func(p *testNode) bool { return len(p.View().Members) == count }
@@ -271,8 +272,9 @@
 	return time.Since(begin)
 }
 
-// bubble runs a test on a network with the paused clock, and stops all nodes.
-func bubble(t *testing.T, test func(t *testing.T, n *network)) {
+// runInBubble runs a test on a network in a synctest runInBubble, and then stops all
+// nodes.
+func runInBubble(t *testing.T, test func(t *testing.T, n *network)) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork(t)
 		defer n.stop()
--- a/bronzefleet/revision_test.go
+++ b/bronzefleet/revision_test.go
@@ -12,14 +12,15 @@
 // fetchTime stands for a request for records and its answer.
 const fetchTime = 50 * time.Millisecond
 
-// An operator publishes a change; one balancer of 490 reads it from the platform.
-// Its neighbours see the higher revision in its next heartbeats, which it sends at
-// once, fetch the records from it, and so on; nobody else asks the platform.
-func TestRevisionReachesAll(t *testing.T) {
+// One balancer of 490 has read a new configuration revision from the platform. It
+// sends heartbeats at once, in which its neighbours see the higher revision. They
+// fetch the records from it instead of the platform and do the same, until the
+// revision is in force on all nodes.
+func TestRevisionPropagation(t *testing.T) {
 	t.Parallel()
 	const size, revision = 490, 7
-	bubble(t, func(t *testing.T, n *network) {
-		nodes := n.prime(size)
+	runInBubble(t, func(t *testing.T, n *network) {
+		nodes := n.startJoined(size)
 		for _, p := range nodes {
 			fetching := false // guarded by n.mu
 			p.OnBehind = func(bronzelink.Member) {
--- a/bronzefleet/sync.go
+++ b/bronzefleet/sync.go
@@ -410,12 +410,12 @@
 
 // checkPartition determines whether the fleet may be partitioned.
 func (f *Fleet) checkPartition(now time.Time) {
-	split := false
+	partitioned := false
 	for _, e := range f.suspectOrDead {
-		split = split || f.maybePartitioned(e, now)
+		partitioned = partitioned || f.maybePartitioned(e, now)
 	}
-	if split != f.partitioned {
-		f.partitioned = split
+	if partitioned != f.partitioned {
+		f.partitioned = partitioned
 		f.dirty = true
 	}
 }
