--- a/bronzefleet/bench_test.go
+++ b/bronzefleet/bench_test.go
@@ -20,8 +20,8 @@
 	return members
 }
 
-// BenchmarkNewView measures a view from nothing, one that a member joins, and
-// one that a member leaves.
+// BenchmarkNewView measures building a view from scratch, and updating one when
+// a member joins or leaves.
 func BenchmarkNewView(b *testing.B) {
 	for _, size := range benchSizes {
 		members := benchMembers(size + 1)
@@ -56,8 +56,8 @@
 	}
 }
 
-// benchFleet returns a node that has joined a fleet of that size and encodes
-// what it sends, and counts the messages in sent.
+// benchFleet returns a Fleet that has joined a fleet of the given size. It
+// encodes the messages that it sends and counts them in sent.
 func benchFleet(size int, sent *int) *Fleet {
 	members := benchMembers(size)
 	f := &Fleet{Self: members[0]}
@@ -76,9 +76,10 @@
 	return f
 }
 
-// BenchmarkSecond measures one second of a member's steady work: its rounds,
-// the heartbeats that it gets and the answers to its own, with their codec.
-// The time of one operation over a second is the share of a core.
+// BenchmarkSecond measures the work of one member in one second without changes:
+// its ticks, the heartbeats that it receives and the answers to its own, with
+// encoding and decoding. The time of one operation divided by a second is the
+// share of a core.
 func BenchmarkSecond(b *testing.B) {
 	for _, size := range benchSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -103,7 +104,7 @@
 	}
 }
 
-// answerAll hands f one round of its peers' messages.
+// answerAll passes the messages of f's peers in one interval to f.
 func answerAll(b *testing.B, f *Fleet, p *peers) {
 	for _, from := range p.targets {
 		receive(b, f, from.Name, &bronzelink.Message{HeartbeatAck: &bronzelink.HeartbeatAck{Digest: f.digests.total}})
@@ -115,7 +116,7 @@
 	}
 }
 
-// receive hands f a message as it comes from the wire.
+// receive encodes and decodes a message, as on the wire, and passes it to f.
 func receive(b *testing.B, f *Fleet, from string, m *bronzelink.Message) {
 	encoded, err := bronzelink.Encode(m)
 	if err != nil {
@@ -128,8 +129,8 @@
 	f.Handle(from, decoded)
 }
 
-// BenchmarkReplace measures what a member does about the replacement of
-// another: news of a death and of a join, with the views that they make.
+// BenchmarkReplace measures the work of one member when another is replaced: the
+// updates that it left and that a new process joined, with the resulting views.
 func BenchmarkReplace(b *testing.B) {
 	for _, size := range benchSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/bronzefleet/example_test.go
+++ b/bronzefleet/example_test.go
@@ -8,8 +8,8 @@
 	"bronzeusher.example/bronzeusher/bronzelink"
 )
 
-// A member leaves: its slots go to the next in their order, and the new owner
-// knows whom to ask for the flows that were there before.
+// A member is leaving: its slots pass to the next node in their order, and the
+// view names the previous owner, which knows the existing flows.
 func ExampleNewView() {
 	members := []bronzelink.Member{
 		{Name: "riga-a-1", Status: bronzelink.Alive},
--- a/bronzefleet/previous_test.go
+++ b/bronzefleet/previous_test.go
@@ -11,11 +11,11 @@
 	"bronzeusher.example/bronzeusher/bronzelink"
 )
 
-// Members come, leave and die one after the other, faster than slots settle. At
-// each change the new owner of a slot must know to ask the last owner, or it
-// would place a flow that lives at another server. The index of a node that is
-// gone is used again, so a stale index would name the wrong node.
-func TestPreviousNamesTheLastOwner(t *testing.T) {
+// Members join, start to leave and leave one after the other, faster than slots settle. At
+// each change the view must name the last owner of a slot to its new owner, which
+// would otherwise place a flow again that is pinned to another server. The index
+// of a node that is gone is reused, so a stale index would name the wrong node.
+func TestPreviousLastOwner(t *testing.T) {
 	t.Parallel()
 	statuses := []bronzelink.Status{bronzelink.Alive, bronzelink.Leaving, bronzelink.Left}
 	rapid.Check(t, func(t *rapid.T) {
@@ -42,7 +42,7 @@
 	})
 }
 
-// requirePrevious checks the slots of some hashes whose owner changed.
+// requirePrevious checks the previous owners of slots whose owner changed.
 func requirePrevious(t *rapid.T, v, next *bronzefleet.View) {
 	for k := range uint64(256) {
 		hash := k << 56
@@ -60,10 +60,10 @@
 	}
 }
 
-// A partition heals. On the other side the best of its members owned each slot,
-// also those slots that stay with their owner here, so each slot has to ask it
-// before a flow is placed anew.
-func TestMembersThatComeBackArePrevious(t *testing.T) {
+// A partition heals. On the other side, one of its members owned each slot, even
+// the slots whose owner on this side stays the same. So for each slot the view
+// must name it, so that it is asked before a flow is placed again.
+func TestPreviousAfterPartition(t *testing.T) {
 	members := make([]bronzelink.Member, 8)
 	for i := range members {
 		members[i] = member(i, bronzelink.Alive)
@@ -75,18 +75,18 @@
 		other = append(other, members[i])
 		members[i].Status = bronzelink.Dead
 	}
-	split := bronzefleet.NewView("riga-a-0", members, whole, now.Add(-time.Hour))
+	partitioned := bronzefleet.NewView("riga-a-0", members, whole, now.Add(-time.Hour))
 	far := bronzefleet.NewView("riga-a-4", other, nil, now)
 	for i := range other {
 		members[4+i] = other[i]
 	}
-	healed := bronzefleet.NewView("riga-a-0", members, split, now)
+	healed := bronzefleet.NewView("riga-a-0", members, partitioned, now)
 	for k := range uint64(1024) {
 		hash := k << 54
 		require.True(t, healed.Unsettled(hash, time.Hour))
 		names, n := healed.Previous(hash)
 		asked := append(names[:n:n], healed.Owner(hash))
-		require.Contains(t, asked, split.Owner(hash))
+		require.Contains(t, asked, partitioned.Owner(hash))
 		require.Contains(t, asked, far.Owner(hash))
 	}
 }
--- a/bronzefleet/step_test.go
+++ b/bronzefleet/step_test.go
@@ -10,9 +10,9 @@
 	"bronzeusher.example/bronzeusher/bronzelink"
 )
 
-// lone returns a joined fleet that knows some members, and collects what it
-// sends; nobody answers.
-func lone(others ...bronzelink.Member) (f *Fleet, sent map[string][]*bronzelink.Message) {
+// newJoinedFleet returns a Fleet that has joined and knows the other members, and the
+// messages that it sends to each. Nothing answers them.
+func newJoinedFleet(others ...bronzelink.Member) (f *Fleet, sent map[string][]*bronzelink.Message) {
 	sent = map[string][]*bronzelink.Message{}
 	f = &Fleet{Self: testMember(0)}
 	f.Send = func(to bronzelink.Member, m *bronzelink.Message) error {
@@ -30,12 +30,13 @@
 	return f, sent
 }
 
-// A process wakes after the others declared it dead, owned its slots, and took it
-// back already, because it refuted an earlier suspicion while it woke. So no
-// answer mentions its death. Its own slots must ask the others all the same.
-func TestWakingNodeAsksThoughNobodyMentionsItsDeath(t *testing.T) {
+// A process resumes after the others have declared it dead and owned its slots,
+// and have already accepted it again, because it refuted an earlier suspicion as
+// it resumed. So no answer mentions its death. Its own slots must be unsettled
+// all the same, so that the others are asked.
+func TestPausedNodeUnreportedDeath(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, sent := lone(testMember(1), testMember(2))
+		f, sent := newJoinedFleet(testMember(1), testMember(2))
 		time.Sleep(time.Hour)
 		f.do(f.tick)
 		require.True(t, f.View().Fenced)
@@ -61,13 +62,13 @@
 }
 
 // A second process announces itself under the name of a member that is alive at
-// another address. It is told of the other and not taken, because two owners
-// under one name would place a flow twice. From the address of the first it is
-// that one, restarted, and is taken at once.
-func TestSecondProcessIsNotTaken(t *testing.T) {
+// another address. It is rejected and told of the first, because two owners under
+// one name would place a flow twice. At the address of the first it counts as the
+// first after a restart, and is accepted at once.
+func TestNameConflict(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		first := testMember(1)
-		f, sent := lone(first, testMember(2))
+		f, sent := newJoinedFleet(first, testMember(2))
 		second := first
 		second.Status = bronzelink.Alive
 		second.Incarnation += 1 << startShift
@@ -83,11 +84,11 @@
 	})
 }
 
-// Platform's list: a dead member that it no longer holds is gone for sure, so the
-// fleet isn't split; a live one that it doesn't hold stays.
-func TestVMListConfirmsOnly(t *testing.T) {
+// A dead member that isn't on the platform's list of VMs is certainly gone, so
+// the fleet doesn't count as partitioned. A live one that isn't on it stays.
+func TestVMListConfirmsDeath(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, _ := lone(testMember(1), testMember(2))
+		f, _ := newJoinedFleet(testMember(1), testMember(2))
 		dead := testMember(1)
 		dead.Status = bronzelink.Suspect
 		dead.Accuser = testMember(2).Name
@@ -107,12 +108,12 @@
 	})
 }
 
-// A process is slow for a moment, less than its lease, while a suspect's time to
-// refute runs out. The refutation may be waiting to be read, so the suspect gets
-// as much more time as the process was slow.
-func TestSlowProcessAccusesNobody(t *testing.T) {
+// A process is slow for a moment that is shorter than its lease, while the time
+// for a suspect to refute ends. The refutation may still be waiting to be read,
+// so the suspect's deadline is extended by the same time.
+func TestSlowProcessExtendsDeadlines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, _ := lone(testMember(1), testMember(2))
+		f, _ := newJoinedFleet(testMember(1), testMember(2))
 		time.Sleep(2 * time.Second)
 		f.lastTick = time.Now()
 		suspect := testMember(1)
@@ -132,16 +133,16 @@
 	})
 }
 
-// A partition heals and hundreds of members change within an interval. The first
-// few news go to all neighbours; were all to, a node would send many times what
-// control traffic may take.
-func TestNewsAreBounded(t *testing.T) {
+// A partition heals and hundreds of members change within an interval. Only the
+// first few updates are sent to all neighbours: if all were, a node would exceed
+// the bytes for control traffic many times over.
+func TestUpdatesBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var others []bronzelink.Member
 		for i := range 200 {
 			others = append(others, testMember(i+1))
 		}
-		f, sent := lone(others...)
+		f, sent := newJoinedFleet(others...)
 		clear(sent)
 		for _, m := range others {
 			m.Status = bronzelink.Alive
@@ -156,13 +157,13 @@
 	})
 }
 
-// Two sides of a partition have met, and news of deaths from the other side still
-// goes around when this side has suspected a member for seconds because of it.
-// Who made the claim was cut off from here until now, so it moves no flow; the
-// same claim by a member of this side does.
-func TestDeathIsBelievedFromThisSideOnly(t *testing.T) {
+// A partition has healed, and claims of deaths from the other side are still
+// spreading when this side has suspected a member for seconds because of them.
+// Their accuser was unreachable from here until recently, so the claim isn't
+// accepted and moves no flows. The same claim by a member of this side is.
+func TestDeathClaimCredibility(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, _ := lone(testMember(1), testMember(2), testMember(3))
+		f, _ := newJoinedFleet(testMember(1), testMember(2), testMember(3))
 		time.Sleep(2 * time.Second)
 		f.lastTick = time.Now()
 		f.entries[testMember(3).Name].returnedAt = time.Now()
--- a/bronzefleet/view_test.go
+++ b/bronzefleet/view_test.go
@@ -22,9 +22,9 @@
 	return bronzelink.Member{Name: fmt.Sprintf("riga-%c-%d", 'a'+i%4, i), Incarnation: 1, Status: s}
 }
 
-// TestOrderFromScratch compares a view that grew from others with one that is
-// built from nothing, in all slots.
-func TestOrderFromScratch(t *testing.T) {
+// A view that was updated incrementally must have the same orders in all slots
+// as one that is built from scratch.
+func TestOrderIncremental(t *testing.T) {
 	t.Parallel()
 	members := make([]bronzelink.Member, 40)
 	var v *bronzefleet.View
@@ -62,7 +62,7 @@
 	return names[:min(len(names), bronzefleet.OrderLength)]
 }
 
-func TestOrderAgainstNaive(t *testing.T) {
+func TestOrderNaive(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
 		var prev *bronzefleet.View
