--- a/bronzelink/bench_test.go
+++ b/bronzelink/bench_test.go
@@ -10,8 +10,8 @@
 	"bronzeusher.example/bronzeusher/bronzelink"
 )
 
-// BenchmarkMesh measures a heartbeat and its answer over one link on loopback,
-// both ends together, with TLS and without.
+// BenchmarkMesh measures a heartbeat and its answer over one loopback link, both
+// ends together, with and without TLS.
 func BenchmarkMesh(b *testing.B) {
 	b.Run("plain", func(b *testing.B) { benchmarkMesh(b, func(string, *bronzelink.Mesh) {}) })
 	b.Run("tls", func(b *testing.B) {
--- a/bronzelink/liveness_test.go
+++ b/bronzelink/liveness_test.go
@@ -15,22 +15,22 @@
 	"bronzeusher.example/bronzeusher/bronzelink"
 )
 
-// wire is a network of in-memory connections by address.
+// wire is a network of in-memory connections.
 type wire struct {
 	mu        sync.Mutex
 	listeners map[string]chan net.Conn
 	dialed    []*wireConn // the dialing ends, in order
 }
 
-// wireConn is one end of a connection, with a small buffer as a socket has.
-// What it writes vanishes once it is mute.
+// wireConn is one end of a connection, with a small buffer like that of a
+// socket. While dropWrites is set, it drops what is written to it.
 type wireConn struct {
 	net.Conn
-	remote net.Addr
-	mute   atomic.Bool
-	buffer chan []byte
-	closed chan struct{}
-	once   sync.Once
+	remote     net.Addr
+	dropWrites atomic.Bool
+	buffer     chan []byte
+	closed     chan struct{}
+	once       sync.Once
 }
 
 func newWireConn(conn net.Conn, port int) *wireConn {
@@ -39,7 +39,7 @@
 	return c
 }
 
-// pump writes what is buffered.
+// pump writes the buffered data to the connection.
 func (c *wireConn) pump() {
 	for {
 		select {
@@ -59,7 +59,7 @@
 }
 
 func (c *wireConn) Write(b []byte) (int, error) {
-	if c.mute.Load() {
+	if c.dropWrites.Load() {
 		return len(b), nil
 	}
 	select {
@@ -140,7 +140,7 @@
 	return p.counts[reason]
 }
 
-// start makes a mesh on w; the returned function stops it.
+// start starts a mesh on w; the returned function stops it.
 func (w *wire) start(t *testing.T, name string, port int) (p *wirePeer, stop func()) {
 	address := loopbackAddress(port)
 	ln := &wireListener{address: address, conns: make(chan net.Conn), closed: make(chan struct{})}
@@ -168,8 +168,8 @@
 	}
 }
 
-// meshes runs a test with two meshes on one wire.
-func meshes(t *testing.T, test func(t *testing.T, w *wire, a, b *wirePeer)) {
+// withMeshes runs a test with two withMeshes on one wire.
+func withMeshes(t *testing.T, test func(t *testing.T, w *wire, a, b *wirePeer)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := &wire{listeners: map[string]chan net.Conn{}}
 		a, stopA := w.start(t, "riga-a-1", 7001)
@@ -180,16 +180,16 @@
 	})
 }
 
-// A firewall between two balancers forgets their connection: what one of them
-// sends on it vanishes, while the other direction and new connections work. The
-// receiver hears nothing, not even to its pings, and closes the link within
-// the liveness deadline; the next message travels on a new one.
-func TestSilentLinkIsReplaced(t *testing.T) {
-	meshes(t, func(t *testing.T, w *wire, a, b *wirePeer) {
+// A firewall between two balancers loses the state of their connection: what one
+// of them sends on it is dropped, while the other direction and new connections
+// work. The receiver gets no bytes, not even answers to its pings, and closes the
+// link after the liveness deadline. The next message is sent on a new one.
+func TestSilentLink(t *testing.T) {
+	withMeshes(t, func(t *testing.T, w *wire, a, b *wirePeer) {
 		require.NoError(t, a.Send(b.member, heartbeat(1)))
 		synctest.Wait()
 		require.Equal(t, []uint64{1}, b.received())
-		w.connection(0).mute.Store(true)
+		w.connection(0).dropWrites.Store(true)
 		require.NoError(t, a.Send(b.member, heartbeat(2)))
 		time.Sleep(2 * bronzelink.DefaultLiveness)
 		require.Equal(t, []uint64{1}, b.received())
@@ -200,11 +200,11 @@
 	})
 }
 
-// A balancer stops reading. Its link's queue fills and the messages for it are
-// refused, its link is closed by the write deadline, and a message for another
-// balancer is not held up for a moment.
-func TestStuckPeerStallsNobody(t *testing.T) {
-	meshes(t, func(t *testing.T, w *wire, a, b *wirePeer) {
+// A balancer stops reading. The queue of its link fills up and further messages
+// for it are refused, and its link is closed after the write timeout. A message
+// for another balancer isn't delayed.
+func TestStuckPeer(t *testing.T) {
+	withMeshes(t, func(t *testing.T, w *wire, a, b *wirePeer) {
 		stuck, stop := w.start(t, "riga-c-1", 7003)
 		defer stop()
 		release := make(chan struct{})
@@ -227,8 +227,8 @@
 	})
 }
 
-func TestIdleLinkIsClosed(t *testing.T) {
-	meshes(t, func(t *testing.T, _ *wire, a, b *wirePeer) {
+func TestIdleLink(t *testing.T) {
+	withMeshes(t, func(t *testing.T, _ *wire, a, b *wirePeer) {
 		require.NoError(t, a.Send(b.member, heartbeat(1)))
 		time.Sleep(bronzelink.DefaultIdle / 2)
 		require.Equal(t, 1, a.Links())
@@ -238,10 +238,10 @@
 	})
 }
 
-// Two balancers dial each other at the same moment. Both keep the same one of the
-// two links, so that no message is lost and no link stays unused.
-func TestLinksDialedAtOnce(t *testing.T) {
-	meshes(t, func(t *testing.T, _ *wire, a, b *wirePeer) {
+// Two balancers dial each other at the same time. Both must keep the same one of
+// the two links, so that no message is lost and no link stays unused.
+func TestSimultaneousDial(t *testing.T) {
+	withMeshes(t, func(t *testing.T, _ *wire, a, b *wirePeer) {
 		require.NoError(t, a.Send(b.member, heartbeat(1)))
 		require.NoError(t, b.Send(a.member, heartbeat(2)))
 		time.Sleep(3 * time.Second)
--- a/bronzelink/mesh_test.go
+++ b/bronzelink/mesh_test.go
@@ -21,7 +21,7 @@
 	"bronzeusher.example/bronzeusher/bronzelink"
 )
 
-// peer is a mesh on a loopback socket, with what came in.
+// peer is a mesh on a loopback socket that records messages, losses and counts.
 type peer struct {
 	*bronzelink.Mesh
 	member   bronzelink.Member
@@ -49,7 +49,8 @@
 	return nil
 }
 
-// newPeer starts a mesh named name; adjust may change it before.
+// newPeer starts a mesh for a node with that name. If adjust is not nil, it is
+// called before the start.
 func newPeer(t *testing.T, name string, adjust func(m *bronzelink.Mesh)) *peer {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -120,7 +121,8 @@
 	require.NoError(t, os.WriteFile(file, b, 0o600))
 }
 
-// issue writes a certificate for name and sets m up to use it.
+// issue writes a certificate for name and returns a function that makes a mesh
+// use it.
 func (a *authority) issue(t testing.TB, name string) func(m *bronzelink.Mesh) {
 	t.Helper()
 	dir := t.TempDir()
@@ -147,7 +149,7 @@
 	writePEM(t, keyFile, "EC PRIVATE KEY", der)
 }
 
-func TestSendBothWaysOnOneLink(t *testing.T) {
+func TestSendBothWays(t *testing.T) {
 	ca := newAuthority(t)
 	a := newPeer(t, "riga-a-1", ca.issue(t, "riga-a-1"))
 	b := newPeer(t, "riga-b-1", ca.issue(t, "riga-b-1"))
@@ -161,11 +163,11 @@
 	require.Eventually(t, func() bool { return b.BytesSent() == a.BytesReceived() }, time.Minute, time.Millisecond)
 }
 
-// An operator starts a balancer with a certificate of another CA, with the
-// certificate of another VM, or with none. Nobody links with it: the peer
-// counts the refusal and no message of it is taken, because one wrong member
-// would own a share of all flows.
-func TestPeersAreAuthenticated(t *testing.T) {
+// A balancer is started with a certificate of another CA, with the certificate
+// of another VM, or with none. Its link is refused: the peer counts the refusal
+// and receives no message, because one wrong member would own a share of all
+// flows.
+func TestPeerAuthentication(t *testing.T) {
 	ca, other := newAuthority(t), newAuthority(t)
 	b := newPeer(t, "riga-b-1", ca.issue(t, "riga-b-1"))
 	for name, adjust := range map[string]func(m *bronzelink.Mesh){
@@ -185,7 +187,7 @@
 	}
 }
 
-func TestCertificatesAreReadAgain(t *testing.T) {
+func TestCertificateReload(t *testing.T) {
 	ca := newAuthority(t)
 	dir := t.TempDir()
 	certFile, keyFile := filepath.Join(dir, "cert.pem"), filepath.Join(dir, "key.pem")
@@ -209,7 +211,7 @@
 	}, time.Minute, 100*time.Millisecond)
 }
 
-func TestPlainIsForLoopbackOnly(t *testing.T) {
+func TestPlainLoopbackOnly(t *testing.T) {
 	a := newPeer(t, "riga-a-1", nil)
 	require.NoError(t, a.Send(bronzelink.Member{Name: "far", ControlAddress: "192.0.2.1:1"}, heartbeat(1)))
 	require.ErrorIs(t, <-a.lost, bronzelink.ErrPlainNotLoopback)
@@ -222,10 +224,10 @@
 	require.ErrorIs(t, m.Serve(t.Context(), ln), bronzelink.ErrPlainNotLoopback)
 }
 
-// A release that speaks versions 1 and 2 meets one that speaks 1, and one that
-// speaks 3 only. It goes on with the first by version 1, and both sides of the
-// second are told that there is no common version.
-func TestVersionsMeet(t *testing.T) {
+// A release that supports versions 1 and 2 links to one that supports 1, and to
+// one that supports only 3. It uses version 1 with the first, and the link to the
+// second fails on either side with ErrVersion.
+func TestVersionNegotiation(t *testing.T) {
 	speak := func(v ...uint8) func(m *bronzelink.Mesh) {
 		return func(m *bronzelink.Mesh) { m.Versions = v }
 	}
@@ -244,8 +246,8 @@
 	require.ErrorIs(t, <-a.lost, bronzelink.ErrVersion)
 }
 
-// Two balancers are started under one name. The second one's links are refused
-// and it is told why, because with two owners of one name a flow would be
+// Two balancers are started under one name. The links of the second are refused
+// with ErrNameTaken, because with two owners under one name a flow would be
 // placed twice.
 func TestNameTaken(t *testing.T) {
 	a := newPeer(t, "riga-a-1", nil)
--- a/bronzelink/property_test.go
+++ b/bronzelink/property_test.go
@@ -27,9 +27,9 @@
 	})
 }
 
-// A later release adds fields at every level. This release takes what it knows
-// and skips the rest.
-func TestUnknownFieldsAreSkipped(t *testing.T) {
+// A later release adds fields to the envelope and to the message in it. This
+// release decodes the fields that it knows and skips the others.
+func TestUnknownFieldsProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := rapid.Make[bronzelink.Members]().Draw(t, "members")
 		name := rapid.StringMatching("Later[A-Z][a-z]+").Draw(t, "name")
@@ -49,7 +49,7 @@
 	})
 }
 
-// withField returns v as a map that has one more field.
+// withField returns v as a map with one further field.
 func withField(t *rapid.T, v any, name string, value any) map[string]any {
 	b, err := cbor.Marshal(v)
 	require.NoError(t, err)
@@ -59,8 +59,8 @@
 	return m
 }
 
-// fuzz adds the encoded seeds and checks that what can be decoded keeps its
-// meaning when it is encoded and decoded again.
+// fuzz adds the encoded seeds and checks that a message that can be decoded is
+// the same after it is encoded and decoded again.
 func fuzz[T any](f *testing.F, encode func(*T) ([]byte, error), decode func([]byte) (*T, error), seeds ...*T) {
 	for _, seed := range seeds {
 		b, err := encode(seed)
@@ -81,8 +81,8 @@
 	})
 }
 
-// sameBytes reports whether a and b are encoded alike: they may still differ in
-// empty and nil slices.
+// sameBytes reports whether a and b have the same encoding. They may still differ
+// in empty and nil slices.
 func sameBytes[T any](t *testing.T, encode func(*T) ([]byte, error), a, b *T) bool {
 	x, err := encode(a)
 	require.NoError(t, err)
