--- a/bronzefleet/detect.go
+++ b/bronzefleet/detect.go
@@ -45,7 +45,8 @@
 
 func (f *Fleet) deadAfter() time.Duration { return deadIntervals * f.interval() }
 
-// setWatches replaces the monitored members by targets.
+// setWatches makes targets the monitored members, and keeps the state of those
+// that are monitored already.
 func (f *Fleet) setWatches(targets []bronzelink.Member) {
 	now := time.Now()
 	watches := make(map[string]*watch, len(targets))
--- a/bronzefleet/load.go
+++ b/bronzefleet/load.go
@@ -18,8 +18,8 @@
 	loadShare = 0.7
 	// unchangedLoad is the factor by which an unchanged load is sent less often.
 	unchangedLoad = 8
-	// leavingWeight is the change that a server counts as which begins or ceases
-	// to leave: more than any number of flows.
+	// leavingWeight is how much a server that starts or stops leaving counts as
+	// a change: more than any number of flows.
 	leavingWeight = 1 << 32
 )
 
@@ -55,9 +55,9 @@
 	pending map[string]struct{}
 }
 
-// Share sets this node's own load, which is sent when the byte budget allows.
-// It sets Origin and later Sequence itself. The caller must not change the
-// slices of load afterwards.
+// Share sets this node's own load, which is sent when the byte budget allows. The
+// Fleet sets its Origin and Sequence. The caller must not change the slices of
+// load afterwards.
 func (f *Fleet) Share(load bronzelink.Load) {
 	load.Origin = f.Self.Name
 	f.load.share(&load)
--- a/bronzefleet/member.go
+++ b/bronzefleet/member.go
@@ -129,8 +129,8 @@
 const distrustAfterReturn = time.Minute
 
 // credible reports whether the accuser in a claim is this node, or is live here
-// and hasn't come back from the dead within distrustAfterReturn: a member that
-// was dead here until recently couldn't reach members that this node could.
+// and hasn't returned after being dead here within distrustAfterReturn: a member
+// that was dead here until recently couldn't reach members that this node could.
 func (f *Fleet) credible(claim bronzelink.Member, now time.Time) bool {
 	if claim.Accuser == f.self.Name {
 		return true
@@ -142,8 +142,8 @@
 // forwardToSubject passes a claim on to the member that it is about, so that
 // the member can refute it. This node has just heard from the member and rejects
 // the claim. It doesn't contradict the claimant: at the same incarnation each of
-// the two would reject the other's state and answer it at once, in an endless
-// loop until the member, which may be dead, refutes the claim.
+// the two would reject the other's state and answer it at once, in a loop until
+// the member, which may be dead, refutes the claim.
 func (f *Fleet) forwardToSubject(claim bronzelink.Member) {
 	f.sendTo(claim.Name, membersMessage(claim))
 }
--- a/bronzefleet/network_test.go
+++ b/bronzefleet/network_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// add makes a node; start runs it.
+// add adds a node to the network; start runs it.
 func (n *network) add(m bronzelink.Member) *testNode {
 	p := &testNode{net: n, counts: map[string]int{}, loads: map[string]int{}, result: make(chan error, 1)}
 	p.Fleet = &Fleet{
@@ -272,7 +272,7 @@
 	return time.Since(begin)
 }
 
-// runInBubble runs a test on a network in a synctest runInBubble, and then stops all
+// runInBubble runs a test on a network in a synctest bubble, and then stops all
 // nodes.
 func runInBubble(t *testing.T, test func(t *testing.T, n *network)) {
 	synctest.Test(t, func(t *testing.T) {
--- a/bronzefleet/peers.go
+++ b/bronzefleet/peers.go
@@ -50,8 +50,8 @@
 		targets.add(r.walk(self, others, 1), 1)
 		monitors.add(r.walk(self, others, -1), 1)
 	}
-	// If a member is next on several rings, or is alone in its zone, the
-	// remaining peers are taken from the first ring.
+	// If the same member is next on several rings, or the node is alone in its
+	// zone, the remaining peers are taken from the first ring.
 	targets.add(rings[0].walk(self, others, 1), targetCount)
 	monitors.add(rings[0].walk(self, others, -1), targetCount)
 	monitored := union(targets.members, extra)
--- a/bronzefleet/previous_test.go
+++ b/bronzefleet/previous_test.go
@@ -11,10 +11,11 @@
 	"bronzeusher.example/bronzeusher/bronzelink"
 )
 
-// Members join, start to leave and leave one after the other, faster than slots settle. At
-// each change the view must name the last owner of a slot to its new owner, which
-// would otherwise place a flow again that is pinned to another server. The index
-// of a node that is gone is reused, so a stale index would name the wrong node.
+// Members join, start to leave and leave one after the other, faster than slots
+// settle. At each change the view must name the last owner of a slot to its new
+// owner, which would otherwise place a flow again that is pinned to another
+// server. The index of a node that is gone is reused, so a stale index would name
+// the wrong node.
 func TestPreviousLastOwner(t *testing.T) {
 	t.Parallel()
 	statuses := []bronzelink.Status{bronzelink.Alive, bronzelink.Leaving, bronzelink.Left}
--- a/bronzefleet/step_test.go
+++ b/bronzefleet/step_test.go
@@ -10,8 +10,8 @@
 	"bronzeusher.example/bronzeusher/bronzelink"
 )
 
-// newJoinedFleet returns a Fleet that has joined and knows the other members, and the
-// messages that it sends to each. Nothing answers them.
+// newJoinedFleet returns a Fleet that has joined and knows the other members, and
+// the messages that it sends to each. Nothing answers them.
 func newJoinedFleet(others ...bronzelink.Member) (f *Fleet, sent map[string][]*bronzelink.Message) {
 	sent = map[string][]*bronzelink.Message{}
 	f = &Fleet{Self: testMember(0)}
--- a/bronzelink/handshake.go
+++ b/bronzelink/handshake.go
@@ -189,7 +189,7 @@
 	return websocket.StatusPolicyViolation
 }
 
-// maxCloseReason is a length in bytes that fits into a WebSocket close frame.
+// maxCloseReason bounds the reason in a WebSocket close frame, in bytes.
 const maxCloseReason = 120
 
 // closeReason returns the reason that is sent to a refused peer.
--- a/bronzelink/link.go
+++ b/bronzelink/link.go
@@ -32,13 +32,13 @@
 	err        error // set before done is closed
 
 	// Set by the handshake, before register.
-	conn    *websocket.Conn
-	raw     *countedConn
-	peer    Member
-	version uint8
-	dialer  string
-	opened  time.Time
-	up      bool // registered; guarded by Mesh.mu
+	conn       *websocket.Conn
+	raw        *countedConn
+	peer       Member
+	version    uint8
+	dialer     string
+	opened     time.Time
+	registered bool // guarded by Mesh.mu
 
 	mu          sync.Mutex
 	lastMessage time.Time // the last message in either direction
@@ -126,8 +126,8 @@
 	tasks.Wait()
 }
 
-// close closes the connection of l. A failure is counted, and reported to OnLost
-// if l was the peer's current link.
+// close closes the connection of l. Timeouts are counted. If l was the peer's
+// current link, its loss is reported to OnLost, unless it was closed normally.
 func (m *Mesh) close(l *link, current bool) {
 	switch {
 	case errors.Is(l.err, errIdle), errors.Is(l.err, errDuplicate), errors.Is(l.err, errFinished):
--- a/bronzelink/liveness_test.go
+++ b/bronzelink/liveness_test.go
@@ -168,7 +168,7 @@
 	}
 }
 
-// withMeshes runs a test with two withMeshes on one wire.
+// withMeshes runs a test with two meshes on one wire.
 func withMeshes(t *testing.T, test func(t *testing.T, w *wire, a, b *wirePeer)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := &wire{listeners: map[string]chan net.Conn{}}
--- a/bronzelink/mesh.go
+++ b/bronzelink/mesh.go
@@ -62,8 +62,8 @@
 // Mesh maintains the links of one node to its peers: one for each peer that
 // messages are sent to or come from, opened on demand and closed when idle.
 // Its fields must not change after the first use; a zero duration or length
-// means the default. Without certificate files it uses no TLS and accepts
-// loopback addresses only.
+// means the default. Without certificate files it uses no TLS and links loopback
+// addresses only.
 type Mesh struct {
 	// Self returns this node's own state, which is sent in its hellos.
 	Self func() Member
@@ -252,7 +252,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	l := m.links[name]
-	if l == nil || !l.up {
+	if l == nil || !l.registered {
 		return 0, false
 	}
 	return l.version, true
@@ -275,12 +275,12 @@
 	if m.closed {
 		return ErrClosed
 	}
-	l.up = true
+	l.registered = true
 	old := m.links[l.peer.Name]
 	if old == l {
 		return nil
 	}
-	if old == nil || !old.up {
+	if old == nil || !old.registered {
 		m.links[l.peer.Name] = l
 		if old != nil {
 			old.moveTo(l)
--- a/bronzelink/message.go
+++ b/bronzelink/message.go
@@ -35,9 +35,9 @@
 	Accuser string `cbor:",omitempty"`
 }
 
-// Hello is the first message of each side of a link. A node closes the link
-// with a reason if there is no common version, or if the peer belongs to another
-// fleet or uses this node's name.
+// Hello is the first message of each side of a link. A node refuses the link if
+// there is no common version, or if the peer belongs to another fleet or uses
+// this node's name. The listening side then closes it with a reason.
 type Hello struct {
 	Versions []uint8
 	Fleet    string
@@ -104,8 +104,8 @@
 
 // Load carries the load of servers as Origin knows it: the open flows that it
 // owns on each server (Owned), and what the servers that it polls have reported
-// (Reported). Sequence increases with each message of one Origin; messages with
-// a lower one are dropped.
+// (Reported). Sequence increases with each message of one Origin; older messages
+// are dropped.
 type Load struct {
 	Origin   string
 	Sequence uint64
--- a/bronzelink/tls.go
+++ b/bronzelink/tls.go
@@ -15,8 +15,8 @@
 // reloadInterval is the minimum time between two checks of the files.
 const reloadInterval = time.Second
 
-// certificates holds this node's certificate and the CA that peers'
-// certificates must come from.
+// certificates holds this node's certificate and the CA that must have issued
+// those of peers.
 type certificates struct {
 	files [3]string // certificate, key, CA
 	count func(reason string)
