--- a/bronzefleet/fleet.go
+++ b/bronzefleet/fleet.go
@@ -418,7 +418,7 @@
 	}
 	f.recontactDead(now)
 	f.checkPartition(now)
-	f.callbacks = append(f.callbacks, func() { f.load.pace(f, now) })
+	f.callbacks = append(f.callbacks, func() { f.load.sendDue(f, now) })
 }
 
 func (f *Fleet) failed() error {
--- a/bronzefleet/load.go
+++ b/bronzefleet/load.go
@@ -42,7 +42,7 @@
 	ownSent    time.Time
 	sequence   uint64
 	tokens     float64
-	lastPaced  time.Time
+	lastRefill time.Time
 }
 
 // origin holds the newest Load of one node.
@@ -108,17 +108,18 @@
 
 // receive processes a Load that the neighbour from passed on.
 func (s *loadSpreader) receive(f *Fleet, from string, l *bronzelink.Load) {
-	if l.Origin == f.Self.Name || !s.keep(from, l) {
+	if l.Origin == f.Self.Name || !s.storeIfNewer(from, l) {
 		return
 	}
-	s.pace(f, time.Now())
+	s.sendDue(f, time.Now())
 	if f.OnLoad != nil {
 		f.OnLoad(l)
 	}
 }
 
-// keep stores l if it is newer than the stored Load, and reports whether it is.
-func (s *loadSpreader) keep(from string, l *bronzelink.Load) bool {
+// storeIfNewer stores l if it is newer than the stored Load, and reports whether
+// it is.
+func (s *loadSpreader) storeIfNewer(from string, l *bronzelink.Load) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	o := s.origins[l.Origin]
@@ -142,11 +143,11 @@
 	}
 	o.change += difference(o.load, l)
 	o.load, o.from, o.arrived, o.size = l, from, time.Now(), 0
-	s.mark(o)
+	s.markPending(o)
 }
 
-// mark records which neighbours o is still to be sent to.
-func (s *loadSpreader) mark(o *origin) {
+// markPending records which neighbours o is still to be sent to.
+func (s *loadSpreader) markPending(o *origin) {
 	o.pending = map[string]struct{}{}
 	if s.direct && o.from != "" {
 		return
@@ -210,7 +211,7 @@
 	same := slices.EqualFunc(s.neighbours, neighbours, func(a, b bronzelink.Member) bool { return a.Name == b.Name })
 	s.neighbours = neighbours
 	if o := s.origins[s.ownName()]; o != nil && !same {
-		s.mark(o)
+		s.markPending(o)
 	}
 }
 
@@ -233,9 +234,9 @@
 	}
 }
 
-// pace sends what the byte budget allows: first the loads that changed most or
+// sendDue sends what the byte budget allows: first the loads that changed most or
 // have waited longest.
-func (s *loadSpreader) pace(f *Fleet, now time.Time) {
+func (s *loadSpreader) sendDue(f *Fleet, now time.Time) {
 	for _, o := range s.due(now, float64(orDefault(f.LoadBytesPerSecond, DefaultLoadBytesPerSecond))) {
 		f.transmit(o.to, o.m)
 	}
@@ -245,11 +246,11 @@
 func (s *loadSpreader) due(now time.Time, rate float64) (out []outgoing) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.lastPaced.IsZero() {
-		s.lastPaced = now
+	if s.lastRefill.IsZero() {
+		s.lastRefill = now
 	}
-	s.tokens = min(s.tokens+rate*now.Sub(s.lastPaced).Seconds(), rate*loadBurst.Seconds())
-	s.lastPaced = now
+	s.tokens = min(s.tokens+rate*now.Sub(s.lastRefill).Seconds(), rate*loadBurst.Seconds())
+	s.lastRefill = now
 	s.storeOwn(now, rate)
 	for _, o := range s.byUrgency(now) {
 		limit := 0.0
--- a/bronzefleet/peers.go
+++ b/bronzefleet/peers.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// place is a member's distance on a ring and its index in a list.
-type place struct {
+// ringPosition is a member's distance on a ring and its index in a list.
+type ringPosition struct {
 	hash  uint64
 	index int
 }
@@ -98,7 +98,7 @@
 // it if step is negative, the nearest first.
 func (r ring) walk(self bronzelink.Member, others []bronzelink.Member, step int) []bronzelink.Member {
 	origin := r.hash(self.Name)
-	var places []place
+	var positions []ringPosition
 	for i := range others {
 		if r.zone && others[i].AvailabilityZone != self.AvailabilityZone {
 			continue
@@ -107,14 +107,14 @@
 		if step < 0 {
 			distance = -distance
 		}
-		places = append(places, place{hash: distance, index: i})
+		positions = append(positions, ringPosition{hash: distance, index: i})
 	}
-	n := min(len(places), targetCount)
+	n := min(len(positions), targetCount)
 	walk := make([]bronzelink.Member, n)
 	for k := range n {
-		nearest := slices.MinFunc(places, func(a, b place) int { return cmp.Compare(a.hash, b.hash) })
+		nearest := slices.MinFunc(positions, func(a, b ringPosition) int { return cmp.Compare(a.hash, b.hash) })
 		walk[k] = others[nearest.index]
-		places = slices.DeleteFunc(places, func(p place) bool { return p == nearest })
+		positions = slices.DeleteFunc(positions, func(p ringPosition) bool { return p == nearest })
 	}
 	return walk
 }
--- a/bronzefleet/sync.go
+++ b/bronzefleet/sync.go
@@ -30,9 +30,9 @@
 	// the same: each attempt may exchange whole lists.
 	recontactIntervals = 10
 	recontactNodes     = 16
-	// phases is the number of steps in which the nodes' first attempts are
+	// phaseSteps is the number of steps in which the nodes' first attempts are
 	// spread over a period.
-	phases = 1024
+	phaseSteps = 1024
 )
 
 // digests are hashes over the members that are neither dead nor left.
@@ -242,7 +242,7 @@
 // completeJoin makes this node a member that owns flows.
 func (f *Fleet) completeJoin(now time.Time) {
 	f.phase = joined
-	f.lastRecontact = now.Add(-f.recontactAfter() * time.Duration(f.phaseHash()%phases) / phases)
+	f.lastRecontact = now.Add(-f.recontactAfter() * time.Duration(f.phaseHash()%phaseSteps) / phaseSteps)
 	f.queueUpdate(f.self.Name)
 	for _, w := range f.watches {
 		*w = watch{acked: now}
--- a/bronzefleet/table.go
+++ b/bronzefleet/table.go
@@ -56,14 +56,14 @@
 // gone only the slots that listed it are computed again. Owners that are dead
 // in t have come back. It returns t itself if nothing changed.
 func (t *table) update(owners, dead map[string]struct{}, now time.Time) *table {
-	var joined, back, gone []string
+	var joined, returned, gone []string
 	for name := range owners {
 		if _, ok := t.live[name]; ok {
 			continue
 		}
 		joined = append(joined, name)
 		if _, ok := t.dead[name]; ok {
-			back = append(back, name)
+			returned = append(returned, name)
 		}
 	}
 	for name := range t.live {
@@ -86,7 +86,7 @@
 	slices.Sort(joined)
 	next.join(joined)
 	next.leave(gone) // after join, so that join reuses no index that t's orders contain
-	next.record(t, back, now)
+	next.record(t, returned, now)
 	return next
 }
 
@@ -230,23 +230,23 @@
 }
 
 // record records the previous owners of each slot whose owner differs from
-// prev's. The nodes in back were dead here and are alive again: on the other
+// prev's. The nodes in returned were dead here and are alive again: on the other
 // side of a partition the one with the highest score owned the slot, even where
 // the owner on this side stays the same, so then every slot is unsettled.
-func (t *table) record(prev *table, back []string, now time.Time) {
+func (t *table) record(prev *table, returned []string, now time.Time) {
 	at := now.UnixNano()
 	for slot := range t.orders {
 		oldOwner, newOwner := prev.orders[slot][0], t.orders[slot][0]
-		if oldOwner == newOwner && len(back) == 0 {
+		if oldOwner == newOwner && len(returned) == 0 {
 			continue
 		}
-		if oldOwner == none && len(back) == 0 {
+		if oldOwner == none && len(returned) == 0 {
 			continue // nobody owned it before
 		}
 		if at-t.changed[slot] >= int64(previousWindow) || t.changed[slot] == 0 {
 			t.previous[slot] = emptyOrder
 		}
-		t.previous[slot] = t.previousOrder(slot, oldOwner, newOwner, back)
+		t.previous[slot] = t.previousOrder(slot, oldOwner, newOwner, returned)
 		t.changed[slot] = at
 	}
 }
@@ -254,14 +254,14 @@
 // previousOrder returns the previous owners of a slot: the last one first, then
 // those with the highest scores among the earlier ones and the nodes that came
 // back. The current owner isn't among them.
-func (t *table) previousOrder(slot int, oldOwner, newOwner uint16, back []string) order {
+func (t *table) previousOrder(slot int, oldOwner, newOwner uint16, returned []string) order {
 	rest := ranking{order: emptyOrder}
 	for _, i := range t.previous[slot] {
 		if i != none && i != oldOwner && i != newOwner {
 			t.insert(slot, &rest, i)
 		}
 	}
-	for _, name := range back {
+	for _, name := range returned {
 		if i := t.live[name]; i != oldOwner && i != newOwner {
 			t.insert(slot, &rest, i)
 		}
