--- a/bronzenode/config.go
+++ b/bronzenode/config.go
@@ -131,9 +131,9 @@
 
 func (c *Config) checkAddresses() *FieldError {
 	addresses := []struct {
-		field string
-		value netip.AddrPort
-		told  bool
+		field      string
+		value      netip.AddrPort
+		advertised bool
 	}{
 		{"EdgeAddress", c.EdgeAddress, false},
 		{"DataAddress", c.DataAddress, true},
@@ -145,7 +145,7 @@
 		if !a.value.IsValid() {
 			return &FieldError{Field: a.field, Reason: "must be an IP address and a port"}
 		}
-		if a.told && a.value.Addr().IsUnspecified() {
+		if a.advertised && a.value.Addr().IsUnspecified() {
 			return &FieldError{Field: a.field, Reason: "must be an address that others can reach, not " + a.value.String()}
 		}
 	}
--- a/bronzenode/counters.go
+++ b/bronzenode/counters.go
@@ -28,7 +28,7 @@
 	sendRefused
 	unknownPeer
 	unknownAddress
-	payloadLeft
+	payloadStripped
 	eventCount
 )
 
@@ -56,9 +56,9 @@
 
 // counter is one count, and what of it the metrics reporter has been told.
 type counter struct {
-	value atomic.Uint64
-	told  uint64
-	out   tally.Counter
+	value    atomic.Uint64
+	reported uint64
+	metric   tally.Counter
 }
 
 func (c *counter) add(n uint64) {
@@ -73,12 +73,12 @@
 	actions [bronzecore.Send + 1][]*counter
 	events  [eventCount]*counter
 
-	mu     sync.Mutex
-	byName map[string]*counter
-	scope  tally.Scope
-	gauges map[string]tally.Gauge
-	closer io.Closer
-	report tallyprom.Reporter
+	mu       sync.Mutex
+	byName   map[string]*counter
+	scope    tally.Scope
+	gauges   map[string]tally.Gauge
+	closer   io.Closer
+	reporter tallyprom.Reporter
 }
 
 func newCounters() *counters {
@@ -96,29 +96,29 @@
 		MetricsOption:   tally.OmitInternalMetrics,
 	}, metricsInterval)
 	c := &counters{
-		byName: make(map[string]*counter),
-		gauges: make(map[string]tally.Gauge),
-		scope:  scope,
-		closer: closer,
-		report: reporter,
+		byName:   make(map[string]*counter),
+		gauges:   make(map[string]tally.Gauge),
+		scope:    scope,
+		closer:   closer,
+		reporter: reporter,
 	}
-	c.makeActions()
+	c.initActions()
 	for e, name := range eventNames {
 		c.events[e] = c.named(name)
 	}
 	return c
 }
 
-// makeActions makes a counter for each reason of the actions that have one,
+// initActions makes a counter for each reason of the actions that have one,
 // so that a reason shows as 0 before it first occurs.
-func (c *counters) makeActions() {
+func (c *counters) initActions() {
 	for kind := bronzecore.Forward; kind <= bronzecore.Send; kind++ {
 		table := make([]*counter, len(bronzecore.Reasons()))
 		for i := range table {
 			table[i] = c.named(kind.String())
 		}
 		for _, r := range reasonsOf(kind) {
-			table[r] = c.reason(reasonedName(kind, r), r.String())
+			table[r] = c.withReason(reasonPrefix(kind, r), r.String())
 		}
 		c.actions[kind] = table
 	}
@@ -138,9 +138,9 @@
 	}
 }
 
-// reasonedName returns the name that reasons of kind are counted under. An
+// reasonPrefix returns the name that reasons of kind are counted under. An
 // opening that is forwarded because another server failed is a retry.
-func reasonedName(kind bronzecore.ActionKind, r bronzecore.Reason) string {
+func reasonPrefix(kind bronzecore.ActionKind, r bronzecore.Reason) string {
 	if kind == bronzecore.Forward && (r == bronzecore.ServerRefused || r == bronzecore.ServerSilent) {
 		return countRetry
 	}
@@ -152,8 +152,8 @@
 	return c.get(name, func() tally.Counter { return c.scope.Counter(name) })
 }
 
-// reason returns the counter of one reason for what name says.
-func (c *counters) reason(name, reason string) *counter {
+// withReason returns the counter of one withReason for what name says.
+func (c *counters) withReason(name, reason string) *counter {
 	return c.get(name+"."+reason, func() tally.Counter {
 		return c.scope.Tagged(map[string]string{"Reason": reason}).Counter(name + "Reasons")
 	})
@@ -165,19 +165,19 @@
 	if k, ok := c.byName[key]; ok {
 		return k
 	}
-	k := &counter{out: newCounter()}
+	k := &counter{metric: newCounter()}
 	c.byName[key] = k
 	return k
 }
 
-// reasons returns a function that counts reasons for what name says; it fits
+// reasonFunc returns a function that counts reasonFunc for what name says; it fits
 // the Count seams of other packages.
-func (c *counters) reasons(name string) func(string) {
-	return func(reason string) { c.reason(name, reason).add(1) }
+func (c *counters) reasonFunc(name string) func(string) {
+	return func(reason string) { c.withReason(name, reason).add(1) }
 }
 
-// set sets a gauge.
-func (c *counters) set(name string, value float64) {
+// setGauge sets a gauge.
+func (c *counters) setGauge(name string, value float64) {
 	c.mu.Lock()
 	g, ok := c.gauges[name]
 	if !ok {
@@ -188,14 +188,14 @@
 	g.Update(value)
 }
 
-// tell hands what was counted since the last call to tally.
-func (c *counters) tell() {
+// publish hands what was counted since the last call to tally.
+func (c *counters) publish() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, k := range c.byName {
 		v := k.value.Load()
-		k.out.Inc(int64(v - k.told))
-		k.told = v
+		k.metric.Inc(int64(v - k.reported))
+		k.reported = v
 	}
 }
 
@@ -213,7 +213,7 @@
 // handler serves the counts in the Prometheus text form. They are at most
 // metricsInterval behind.
 func (c *counters) handler() http.Handler {
-	return c.report.HTTPHandler()
+	return c.reporter.HTTPHandler()
 }
 
 func (c *counters) close() (err error) {
--- a/bronzenode/execute.go
+++ b/bronzenode/execute.go
@@ -7,13 +7,13 @@
 	"bronzeusher.example/bronzeusher/bronzewire"
 )
 
-// do carries the worker's actions out, in order. What they send leaves with
+// executeAll carries the worker's actions out, in order. What they send leaves with
 // the next flush.
-func (w *worker) do() {
+func (w *worker) executeAll() {
 	for i := range w.actions {
 		a := &w.actions[i]
 		if a.Reason == bronzecore.None {
-			w.done[a.Kind]++
+			w.actionCounts[a.Kind]++
 		} else {
 			w.node.counters.actions[a.Kind][a.Reason].add(1)
 		}
@@ -24,15 +24,15 @@
 func (w *worker) execute(a *bronzecore.Action) {
 	switch a.Kind {
 	case bronzecore.Forward:
-		w.toServer(a, a.Packet.Raw)
+		w.sendToServer(a, a.Packet.Raw)
 	case bronzecore.Reply:
 		w.edge.put(w.node.cfg.FabricAddress, a.Packet.Raw)
 	case bronzecore.Relay:
-		w.toPeer(a, bronzewire.Frame{Kind: bronzewire.FramePacket, Hops: a.Packet.Hops, Body: a.Packet.Raw})
+		w.sendToPeer(a, bronzewire.Frame{Kind: bronzewire.FramePacket, Hops: a.Packet.Hops, Body: a.Packet.Raw})
 	case bronzecore.RelayReply:
-		w.toPeer(a, bronzewire.Frame{Kind: bronzewire.FrameReply, Hops: a.Packet.Hops, Server: a.Server, Body: a.Packet.Raw})
+		w.sendToPeer(a, bronzewire.Frame{Kind: bronzewire.FrameReply, Hops: a.Packet.Hops, Server: a.Server, Body: a.Packet.Raw})
 	case bronzecore.Send:
-		w.message(a)
+		w.sendMessage(a)
 	case bronzecore.Refuse:
 		w.refuse(a)
 	case bronzecore.Abort:
@@ -44,21 +44,21 @@
 	}
 }
 
-func (w *worker) toServer(a *bronzecore.Action, b []byte) {
+func (w *worker) sendToServer(a *bronzecore.Action, b []byte) {
 	address, ok := w.node.tunnels.Load().address(a.Server)
 	if !ok {
 		// The server went out of force after the decision: its address may
 		// be another Customer's by now.
-		w.seen[unknownAddress]++
+		w.eventCounts[unknownAddress]++
 		return
 	}
 	w.edge.put(address, b)
 }
 
-func (w *worker) toPeer(a *bronzecore.Action, f bronzewire.Frame) {
+func (w *worker) sendToPeer(a *bronzecore.Action, f bronzewire.Frame) {
 	address, ok := w.node.members.Load().addresses[a.Peer]
 	if !ok {
-		w.seen[unknownAddress]++
+		w.eventCounts[unknownAddress]++
 		return
 	}
 	start := len(w.built)
@@ -66,14 +66,14 @@
 	w.data.put(address, w.built[start:])
 }
 
-func (w *worker) message(a *bronzecore.Action) {
+func (w *worker) sendMessage(a *bronzecore.Action) {
 	b, err := bronzelink.EncodeFlow(a.Message)
 	if err != nil {
-		w.malformed(err)
+		w.reject(err)
 		return
 	}
-	w.seen[flowBytesSent] += uint64(len(b) + bronzewire.FrameHeaderLen)
-	w.toPeer(a, bronzewire.Frame{Kind: bronzewire.FrameFlow, Body: b})
+	w.eventCounts[flowBytesSent] += uint64(len(b) + bronzewire.FrameHeaderLen)
+	w.sendToPeer(a, bronzewire.Frame{Kind: bronzewire.FrameFlow, Body: b})
 }
 
 // refuse answers the caller in its service's name.
@@ -105,7 +105,7 @@
 		return bronzewire.Cancellation(dst, a.Packet.Raw, fromServer(a))
 	})
 	if ok {
-		w.toServer(a, b)
+		w.sendToServer(a, b)
 	}
 }
 
@@ -121,7 +121,7 @@
 		return bronzewire.Probe(dst, a.Packet.Raw)
 	})
 	if ok {
-		w.toServer(a, b)
+		w.sendToServer(a, b)
 	}
 }
 
@@ -131,7 +131,7 @@
 	start := len(w.built)
 	built, err := packet(w.built)
 	if err != nil {
-		w.malformed(err)
+		w.reject(err)
 		return nil, false
 	}
 	if built == nil {
--- a/bronzenode/forward_bench_test.go
+++ b/bronzenode/forward_bench_test.go
@@ -63,7 +63,7 @@
 func newBatch() []bronzesocket.Datagram {
 	batch := make([]bronzesocket.Datagram, bronzesocket.MaxBatch)
 	for i := range batch {
-		batch[i].Buf = make([]byte, maxPacket)
+		batch[i].Buf = make([]byte, maxPacketBytes)
 	}
 	return batch
 }
@@ -148,7 +148,7 @@
 func (f *naive) serve() {
 	var parser bronzewire.Parser
 	var p bronzeflow.Packet
-	buf := make([]byte, maxPacket)
+	buf := make([]byte, maxPacketBytes)
 	for {
 		n, _, err := f.conn.ReadFromUDPAddrPort(buf)
 		if err != nil {
--- a/bronzenode/gate.go
+++ b/bronzenode/gate.go
@@ -8,38 +8,38 @@
 // gate holds up everything that a node does, as if its process was stopped.
 // The zero gate is open.
 type gate struct {
-	shut atomic.Pointer[chan struct{}]
+	closed atomic.Pointer[chan struct{}]
 }
 
-// pass returns once the gate is open.
-func (g *gate) pass() {
+// wait returns once the gate is open.
+func (g *gate) wait() {
 	for {
-		shut := g.shut.Load()
-		if shut == nil {
+		closed := g.closed.Load()
+		if closed == nil {
 			return
 		}
-		<-*shut
+		<-*closed
 	}
 }
 
-// close shuts the gate for d, unless it is shut already.
-func (g *gate) close(d time.Duration) {
-	shut := make(chan struct{})
-	if !g.shut.CompareAndSwap(nil, &shut) {
+// closeFor shuts the gate for d, unless it is shut already.
+func (g *gate) closeFor(d time.Duration) {
+	closed := make(chan struct{})
+	if !g.closed.CompareAndSwap(nil, &closed) {
 		return
 	}
-	time.AfterFunc(d, func() { g.release(&shut) })
+	time.AfterFunc(d, func() { g.release(&closed) })
 }
 
 // open ends a pause early, so that a node can be ended while it is paused.
 func (g *gate) open() {
-	if shut := g.shut.Load(); shut != nil {
-		g.release(shut)
+	if closed := g.closed.Load(); closed != nil {
+		g.release(closed)
 	}
 }
 
-func (g *gate) release(shut *chan struct{}) {
-	if g.shut.CompareAndSwap(shut, nil) {
-		close(*shut)
+func (g *gate) release(closed *chan struct{}) {
+	if g.closed.CompareAndSwap(closed, nil) {
+		close(*closed)
 	}
 }
--- a/bronzenode/harness_test.go
+++ b/bronzenode/harness_test.go
@@ -82,7 +82,7 @@
 	go func() {
 		var parser bronzewire.Parser
 		for {
-			buf := make([]byte, maxPacket)
+			buf := make([]byte, maxPacketBytes)
 			n, from, err := conn.ReadFromUDPAddrPort(buf)
 			if err != nil {
 				return
--- a/bronzenode/leave.go
+++ b/bronzenode/leave.go
@@ -10,8 +10,8 @@
 	"bronzeusher.example/bronzeusher/bronzecore"
 )
 
-// leaveCheck is how often a leaving node looks whether it may end.
-const leaveCheck = 50 * time.Millisecond
+// leaveCheckInterval is how often a leaving node looks whether it may end.
+const leaveCheckInterval = 50 * time.Millisecond
 
 // ErrLeaving is returned by a second call of Leave.
 var ErrLeaving = errors.New("node is leaving already")
@@ -22,29 +22,29 @@
 // Config.LeaveQuiet, at the latest after Config.LeaveLimit or when ctx is
 // done. Leave returns when Run has; undone is what no other node is known to
 // hold. Run must have been called.
-func (n *Node) Leave(ctx context.Context) (undone bronzecore.Remaining, err error) {
+func (n *Node) Leave(ctx context.Context) (remaining bronzecore.Remaining, err error) {
 	defer annotate(&err, "leave")
 	if n.leaving.Swap(true) {
-		return undone, ErrLeaving
+		return remaining, ErrLeaving
 	}
 	n.log.Info("leaving")
 	n.quietSince.Store(time.Now().UnixNano())
 	limit, cancel := context.WithTimeout(ctx, n.cfg.LeaveLimit)
-	told := n.announce(limit)
-	n.waitUntilHandedOver(limit, told)
+	announced := n.announce(limit)
+	n.waitUntilHandedOver(limit, announced)
 	cancel()
-	<-told
-	undone = n.balancer.Remaining()
-	n.end(nil)
+	<-announced
+	remaining = n.balancer.Remaining()
+	n.stopWith(nil)
 	<-n.done
-	n.logUndone(undone)
-	return undone, ctx.Err()
+	n.logRemaining(remaining)
+	return remaining, ctx.Err()
 }
 
 // announce tells the peers that this node is leaving, and closes told once
 // they know. The decisions hear of it with the view that follows, which has
 // other owners for all flows.
-func (n *Node) announce(ctx context.Context) (told <-chan struct{}) {
+func (n *Node) announce(ctx context.Context) (announced <-chan struct{}) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -57,13 +57,13 @@
 }
 
 // waitUntilHandedOver returns when the node may end, or when ctx is done.
-func (n *Node) waitUntilHandedOver(ctx context.Context, told <-chan struct{}) {
+func (n *Node) waitUntilHandedOver(ctx context.Context, announced <-chan struct{}) {
 	select {
-	case <-told:
+	case <-announced:
 	case <-n.done:
 		return
 	}
-	ticker := time.NewTicker(leaveCheck)
+	ticker := time.NewTicker(leaveCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -87,9 +87,9 @@
 	return time.Since(since) >= n.cfg.LeaveQuiet
 }
 
-func (n *Node) logUndone(undone bronzecore.Remaining) {
-	entry := n.log.WithFields(logrus.Fields{"Copies": undone.Copies, "Attempts": undone.Attempts})
-	if undone == (bronzecore.Remaining{}) {
+func (n *Node) logRemaining(remaining bronzecore.Remaining) {
+	entry := n.log.WithFields(logrus.Fields{"Copies": remaining.Copies, "Attempts": remaining.Attempts})
+	if remaining == (bronzecore.Remaining{}) {
 		entry.Info("left")
 		return
 	}
--- a/bronzenode/node.go
+++ b/bronzenode/node.go
@@ -29,19 +29,19 @@
 // Node is one balancer: the decisions of a bronzecore.Balancer with sockets,
 // peers, platform and metrics around them. New makes one; Run runs it once.
 type Node struct {
-	cfg      Config
-	log      *logrus.Entry
-	balancer bronzecore.Balancer
-	fleet    bronzefleet.Fleet
-	mesh     bronzelink.Mesh
-	store    bronzeconf.Store
-	platform bronzeconf.Platform
-	counters *counters
-	reports  *reports
-	shares   shares
-	lacking  lacking
-	gate     gate
-	started  time.Time
+	cfg         Config
+	log         *logrus.Entry
+	balancer    bronzecore.Balancer
+	fleet       bronzefleet.Fleet
+	mesh        bronzelink.Mesh
+	store       bronzeconf.Store
+	platform    bronzeconf.Platform
+	counters    *counters
+	reports     *reportPoller
+	sharedLoads sharedLoads
+	missing     missingRecords
+	gate        gate
+	started     time.Time
 
 	edge    *bronzesocket.Socket
 	data    *bronzesocket.Socket
@@ -62,7 +62,7 @@
 	stop     chan struct{}
 	stopOnce sync.Once
 	done     chan struct{}
-	fault    error // set before stop is closed
+	runErr   error // set before stop is closed
 }
 
 // New opens the addresses of cfg and returns the Node that will serve them.
@@ -114,8 +114,8 @@
 	n.balancer.Timing = n.cfg.Timing
 	n.balancer.Lease = n.fleet.Lease
 	n.store.OnChange = n.onSnapshot
-	n.store.Count = n.counters.reasons(countConfig)
-	n.reports = newReports(n)
+	n.store.Count = n.counters.reasonFunc(countConfig)
+	n.reports = newReportPoller(n)
 	if n.cfg.Platform != "" {
 		n.platform = bronzeconf.HTTPPlatform{Base: n.cfg.Platform, Client: n.cfg.Client}.Platform()
 	}
@@ -143,7 +143,7 @@
 	f.OnBehind = n.onBehind
 	f.OnRecordsRequest = n.onRecordsRequest
 	f.OnRecords = n.onRecords
-	f.Count = n.counters.reasons(countControl)
+	f.Count = n.counters.reasonFunc(countControl)
 }
 
 func (n *Node) connectMesh() {
@@ -154,7 +154,7 @@
 	m.OnMessage = n.onMessage
 	m.OnLost = n.onLost
 	m.Accept = n.fleet.Admit
-	m.Count = n.counters.reasons(countControl)
+	m.Count = n.counters.reasonFunc(countControl)
 	m.Dial = n.dial
 }
 
@@ -195,17 +195,17 @@
 
 // Pause stops all that the node does for d, as if its process was stopped:
 // what arrives meanwhile waits, and is handled late.
-func (n *Node) Pause(d time.Duration) { n.gate.close(d) }
+func (n *Node) Pause(d time.Duration) { n.gate.closeFor(d) }
 
 // Counters returns all counts by name. Those of refusals and drops have the
 // reason in the name, as in "Refuse.RateLimit" and "Drop.NoService".
 func (n *Node) Counters() map[string]uint64 {
-	n.countBytes()
+	n.updateByteCounters()
 	return n.counters.snapshot()
 }
 
-// countBytes takes over what the control links count.
-func (n *Node) countBytes() {
+// updateByteCounters takes over what the control links count.
+func (n *Node) updateByteCounters() {
 	n.counters.named(countControlSent).value.Store(n.mesh.BytesSent())
 	n.counters.named(countControlReceived).value.Store(n.mesh.BytesReceived())
 }
@@ -215,7 +215,7 @@
 
 // onView puts a new view in force.
 func (n *Node) onView(v *bronzefleet.View) {
-	n.gate.pass()
+	n.gate.wait()
 	before := n.members.Swap(newMembers(v))
 	n.balancer.SetView(v)
 	if n.leaving.Load() {
@@ -227,44 +227,44 @@
 	for name := range before.view.Members {
 		if _, ok := v.Members[name]; !ok {
 			n.balancer.SetOwnedFlows(name, nil)
-			n.shares.forget(name)
+			n.sharedLoads.forget(name)
 		}
 	}
 }
 
 // onMessage hands over what a peer says.
 func (n *Node) onMessage(from string, m *bronzelink.Message) {
-	n.gate.pass()
+	n.gate.wait()
 	n.fleet.Handle(from, m)
 }
 
 func (n *Node) onLost(name string, err error) {
-	n.gate.pass()
+	n.gate.wait()
 	n.log.WithError(err).WithField("Peer", name).Debug("link lost")
 	n.fleet.LinkLost(name, err)
 }
 
-// tellControl sends m to a peer. If that fails, the peer finds itself behind
+// trySendControl sends m to a peer. If that fails, the peer finds itself behind
 // again at a later heartbeat.
-func (n *Node) tellControl(to bronzelink.Member, m *bronzelink.Message) {
+func (n *Node) trySendControl(to bronzelink.Member, m *bronzelink.Message) {
 	if err := n.sendControl(to, m); err != nil {
-		n.counters.reason(countControl, bronzefleet.CountSendFailed).add(1)
+		n.counters.withReason(countControl, bronzefleet.CountSendFailed).add(1)
 	}
 }
 
 // sendControl sends m on the control link to a peer.
 func (n *Node) sendControl(to bronzelink.Member, m *bronzelink.Message) error {
-	n.gate.pass()
+	n.gate.wait()
 	if n.killed.Load() {
 		return net.ErrClosed
 	}
 	return n.mesh.Send(to, m)
 }
 
-// end makes Run return err. Only the first call counts.
-func (n *Node) end(err error) {
+// stopWith makes Run return err. Only the first call counts.
+func (n *Node) stopWith(err error) {
 	n.stopOnce.Do(func() {
-		n.fault = err
+		n.runErr = err
 		close(n.stop)
 	})
 }
@@ -272,7 +272,7 @@
 // Kill ends the node abruptly: its sockets are closed, and nobody is told.
 func (n *Node) Kill() {
 	n.killed.Store(true)
-	n.end(nil)
+	n.stopWith(nil)
 	n.closeAddresses()
 	n.gate.open()
 }
--- a/bronzenode/opening.go
+++ b/bronzenode/opening.go
@@ -9,51 +9,51 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// leavePayload takes the request out of a TCP opening; its caller sends it
+// stripPayload takes the request out of a TCP opening; its caller sends it
 // again once the opening is accepted. A forwarded request commits its flow to
 // a server that has promised nothing yet. Were that server then silent, or
 // this node killed before it told anyone, the flow's next owner would find
 // the caller's repeated opening, place it elsewhere, and the request would run
 // twice. An opening without payload runs nothing wherever it is repeated.
-func (w *worker) leavePayload() {
+func (w *worker) stripPayload() {
 	p := &w.packet
 	if p.Kind != bronzeflow.Open || p.Payload == 0 {
 		return
 	}
 	start := len(w.built)
-	w.built = appendBareOpening(w.built, p)
+	w.built = appendWithoutPayload(w.built, p)
 	p.Raw = w.built[start:]
 	p.Payload = 0
-	w.seen[payloadLeft]++
+	w.eventCounts[payloadStripped]++
 }
 
 // Offsets in the headers of IP and TCP.
 const (
 	ipv4Length     = 2
 	ipv4Checksum   = 10
-	ipv4UnitLength = 4
+	ipv4WordLength = 4
 	ipv6Length     = 4
 	tcpChecksum    = 16
 )
 
-// appendBareOpening appends p, a TCP packet, without its payload.
-func appendBareOpening(dst []byte, p *bronzeflow.Packet) []byte {
+// appendWithoutPayload appends p, a TCP packet, without its payload.
+func appendWithoutPayload(dst []byte, p *bronzeflow.Packet) []byte {
 	start := len(dst)
 	dst = append(dst, p.Raw[:len(p.Raw)-p.Payload]...)
 	b := dst[start:]
 	tcp := b[len(b)-tcpHeaderLength(p.Raw):]
 	if isIPv4(b) {
-		shorten(b[ipv4Length:], p.Payload)
-		header := b[:int(b[0]&0xf)*ipv4UnitLength]
+		subtractLength(b[ipv4Length:], p.Payload)
+		header := b[:int(b[0]&0xf)*ipv4WordLength]
 		clear(header[ipv4Checksum : ipv4Checksum+2])
-		binary.BigEndian.PutUint16(header[ipv4Checksum:], ^fold(sum(0, header)))
+		binary.BigEndian.PutUint16(header[ipv4Checksum:], ^foldChecksum(addChecksum(0, header)))
 	} else {
-		shorten(b[ipv6Length:], p.Payload)
+		subtractLength(b[ipv6Length:], p.Payload)
 	}
 	clear(tcp[tcpChecksum : tcpChecksum+2])
 	pseudo := uint32(bronzeflow.TCP) + uint32(len(tcp))
-	pseudo = sum(sum(pseudo, addressBytes(p.Key.Caller)), addressBytes(p.Key.Service))
-	binary.BigEndian.PutUint16(tcp[tcpChecksum:], ^fold(sum(pseudo, tcp)))
+	pseudo = addChecksum(addChecksum(pseudo, addressBytes(p.Key.Caller)), addressBytes(p.Key.Service))
+	binary.BigEndian.PutUint16(tcp[tcpChecksum:], ^foldChecksum(addChecksum(pseudo, tcp)))
 	return dst
 }
 
@@ -70,8 +70,8 @@
 
 func isIPv4(raw []byte) bool { return raw[0]>>4 == 4 }
 
-func shorten(length []byte, by int) {
-	binary.BigEndian.PutUint16(length, binary.BigEndian.Uint16(length)-uint16(by))
+func subtractLength(length []byte, n int) {
+	binary.BigEndian.PutUint16(length, binary.BigEndian.Uint16(length)-uint16(n))
 }
 
 // addressBytes returns the bytes of a that add up in a checksum. Those that
@@ -84,8 +84,8 @@
 	return a[:]
 }
 
-// sum adds the 16-bit words of b to s, as in RFC 1071.
-func sum(s uint32, b []byte) uint32 {
+// addChecksum adds the 16-bit words of b to s, as in RFC 1071.
+func addChecksum(s uint32, b []byte) uint32 {
 	for ; len(b) > 1; b = b[2:] {
 		s += uint32(binary.BigEndian.Uint16(b))
 	}
@@ -95,7 +95,7 @@
 	return s
 }
 
-func fold(s uint32) uint16 {
+func foldChecksum(s uint32) uint16 {
 	for s > 0xffff {
 		s = s>>16 + s&0xffff
 	}
--- a/bronzenode/opening_test.go
+++ b/bronzenode/opening_test.go
@@ -31,10 +31,10 @@
 		require.NoError(t, err)
 		var w worker
 		require.NoError(t, w.parser.FromCaller(raw, &w.packet))
-		w.leavePayload()
+		w.stripPayload()
 		require.Equal(t, bare, w.packet.Raw)
 		require.Zero(t, w.packet.Payload)
-		require.Equal(t, uint64(1), w.seen[payloadLeft])
+		require.Equal(t, uint64(1), w.eventCounts[payloadStripped])
 	})
 }
 
@@ -57,7 +57,7 @@
 	}
 	var w worker
 	require.NoError(t, w.parser.FromCaller(serialize("odd"), &w.packet))
-	w.leavePayload()
+	w.stripPayload()
 	require.Equal(t, serialize(""), w.packet.Raw)
 }
 
--- a/bronzenode/outbox.go
+++ b/bronzenode/outbox.go
@@ -11,15 +11,15 @@
 // outbox collects datagrams for one socket, so that a batch of decisions
 // costs one system call. One goroutine at a time may use it.
 type outbox struct {
-	socket  *bronzesocket.Socket
-	cut     func(from, to netip.AddrPort) bool
-	refused *uint64
-	batch   []bronzesocket.Datagram
+	socket      *bronzesocket.Socket
+	partitioned func(from, to netip.AddrPort) bool
+	refused     *uint64
+	batch       []bronzesocket.Datagram
 }
 
 // put adds b, which must not change until the next flush.
 func (o *outbox) put(to netip.AddrPort, b []byte) {
-	if o.cut != nil && o.cut(o.socket.LocalAddrPort(), to) {
+	if o.partitioned != nil && o.partitioned(o.socket.LocalAddrPort(), to) {
 		return
 	}
 	o.batch = append(o.batch, bronzesocket.Datagram{Addr: to, Buf: b, N: len(b)})
--- a/bronzenode/partition.go
+++ b/bronzenode/partition.go
@@ -26,26 +26,26 @@
 	if err != nil {
 		return nil, err
 	}
-	return &cutConn{Conn: conn, cut: n.cfg.Partitioned, from: n.ControlAddress(), to: to, closed: make(chan struct{})}, nil
+	return &partitionedConn{Conn: conn, partitioned: n.cfg.Partitioned, from: n.ControlAddress(), to: to, closed: make(chan struct{})}, nil
 }
 
-// cutConn is a connection that goes silent for good once Cut loses it: what
+// partitionedConn is a connection that goes silent for good once Cut loses it: what
 // is written vanishes, and nothing more is read.
-type cutConn struct {
+type partitionedConn struct {
 	net.Conn
-	cut      func(from, to netip.AddrPort) bool
-	from, to netip.AddrPort
-	once     sync.Once
-	closed   chan struct{}
+	partitioned func(from, to netip.AddrPort) bool
+	from, to    netip.AddrPort
+	once        sync.Once
+	closed      chan struct{}
 
 	mu     sync.Mutex
 	silent bool
 }
 
 // Read returns nothing that arrives after the connection went silent.
-func (c *cutConn) Read(b []byte) (n int, err error) {
+func (c *partitionedConn) Read(b []byte) (n int, err error) {
 	n, err = c.Conn.Read(b)
-	if c.isCut(c.to, c.from) {
+	if c.isPartitioned(c.to, c.from) {
 		<-c.closed
 		return 0, net.ErrClosed
 	}
@@ -53,22 +53,22 @@
 }
 
 // Write takes b and loses it after the connection went silent.
-func (c *cutConn) Write(b []byte) (n int, err error) {
-	if c.isCut(c.from, c.to) {
+func (c *partitionedConn) Write(b []byte) (n int, err error) {
+	if c.isPartitioned(c.from, c.to) {
 		return len(b), nil
 	}
 	return c.Conn.Write(b)
 }
 
 // Close ends also a Read that waits in silence.
-func (c *cutConn) Close() error {
+func (c *partitionedConn) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
 
-func (c *cutConn) isCut(from, to netip.AddrPort) bool {
+func (c *partitionedConn) isPartitioned(from, to netip.AddrPort) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.silent = c.silent || c.cut(from, to)
+	c.silent = c.silent || c.partitioned(from, to)
 	return c.silent
 }
--- a/bronzenode/rank.go
+++ b/bronzenode/rank.go
@@ -9,11 +9,11 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// ranks reports whether self is among the first n of names in the rendezvous
+// isSelected reports whether self is among the first n of names in the rendezvous
 // order for key. Every node computes the same order from the same names, so
 // that a task falls to n nodes without an exchange; when a view is out of
 // date the task is done by a node too many, which costs a read and no more.
-func ranks(names []string, self string, key uint64, n int) bool {
+func isSelected(names []string, self string, key uint64, n int) bool {
 	own := rankScore(self, key)
 	before := 0
 	for _, name := range names {
--- a/bronzenode/records.go
+++ b/bronzenode/records.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// zoneReaders is how many nodes of a zone read the platform. The others
+	// platformReadersPerZone is how many nodes of a zone read the platform. The others
 	// get records from their peers, so that reads grow with the zones and
 	// not with the nodes.
-	zoneReaders = 2
+	platformReadersPerZone = 2
 	// maxRecordsBytes is how many bytes of bodies one message carries,
 	// unless a single body is longer.
 	maxRecordsBytes = 256 << 10
@@ -23,7 +23,7 @@
 // platform. A node that is joining doesn't: a platform that is behind would
 // hand it an old world that its peers have left.
 func (n *Node) readsPlatform() bool {
-	n.gate.pass()
+	n.gate.wait()
 	v := n.members.Load().view
 	if !v.Ready || v.Fenced {
 		return false
@@ -35,7 +35,7 @@
 			names = append(names, name)
 		}
 	}
-	return ranks(names, n.cfg.Name, xxhash.Sum64String(zone), zoneReaders)
+	return isSelected(names, n.cfg.Name, xxhash.Sum64String(zone), platformReadersPerZone)
 }
 
 // onSnapshot puts a new configuration in force. The packet path knows its
@@ -53,7 +53,7 @@
 	for _, v := range n.store.Have() {
 		request.Have = append(request.Have, bronzelink.RecordVersion{Name: v.Name, Revision: v.Revision})
 	}
-	n.tellControl(peer, &bronzelink.Message{RecordsRequest: request})
+	n.trySendControl(peer, &bronzelink.Message{RecordsRequest: request})
 }
 
 // onRecordsRequest sends a peer what it lacks, in parts of a bounded length.
@@ -75,14 +75,14 @@
 	for _, v := range present {
 		versions = append(versions, bronzelink.RecordVersion{Name: v.Name, Revision: v.Revision})
 	}
-	for _, part := range split(bodies) {
+	for _, part := range splitBodies(bodies) {
 		records := &bronzelink.Records{Revision: revision, Present: versions, Bodies: part}
-		n.tellControl(peer, &bronzelink.Message{Records: records})
+		n.trySendControl(peer, &bronzelink.Message{Records: records})
 	}
 }
 
-// split divides bodies into parts of about maxRecordsBytes, at least one.
-func split(bodies []bronzeconf.StoredRecord) [][]bronzelink.StoredRecord {
+// splitBodies divides bodies into parts of about maxRecordsBytes, at least one.
+func splitBodies(bodies []bronzeconf.StoredRecord) [][]bronzelink.StoredRecord {
 	parts := [][]bronzelink.StoredRecord{nil}
 	size := 0
 	for _, b := range bodies {
@@ -112,26 +112,26 @@
 		n.log.WithError(err).WithField("Peer", from).Debug("records of a peer not applied")
 		return
 	}
-	n.lacking.set(r.Revision, present)
+	n.missing.set(r.Revision, present)
 }
 
-// lackTries is how often a node asks for the bodies that it lacks of one
+// maxMissingRequests is how often a node asks for the bodies that it lacks of one
 // revision. More would be of no use where the peers lack them, too, because
 // the newest version of a record has faults.
-const lackTries = 3
+const maxMissingRequests = 3
 
-// lacking remembers the records that a peer said are present, so that bodies
+// missingRecords remembers the records that a peer said are present, so that bodies
 // that didn't arrive can be asked for again. Without that, a link that broke
 // between two parts of an answer would leave an old record in force: the
 // revision is that of the peers by then, and nobody finds this node behind.
-type lacking struct {
+type missingRecords struct {
 	mu       sync.Mutex
 	revision uint64
 	present  []bronzeconf.RecordVersion
 	tries    int
 }
 
-func (l *lacking) set(revision uint64, present []bronzeconf.RecordVersion) {
+func (l *missingRecords) set(revision uint64, present []bronzeconf.RecordVersion) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if revision > l.revision {
@@ -139,20 +139,20 @@
 	}
 }
 
-// next reports whether there is something to ask for, and counts it as a try.
-func (l *lacking) next(lacks func([]bronzeconf.RecordVersion) []string) (ok bool) {
+// shouldRequest reports whether there is something to ask for, and counts it as a try.
+func (l *missingRecords) shouldRequest(missing func([]bronzeconf.RecordVersion) []string) (ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.tries >= lackTries || len(lacks(l.present)) == 0 {
+	if l.tries >= maxMissingRequests || len(missing(l.present)) == 0 {
 		return false
 	}
 	l.tries++
 	return true
 }
 
-// askForLacking asks a peer for bodies that didn't arrive.
-func (n *Node) askForLacking() {
-	if !n.lacking.next(n.store.Missing) {
+// requestMissing asks a peer for bodies that didn't arrive.
+func (n *Node) requestMissing() {
+	if !n.missing.shouldRequest(n.store.Missing) {
 		return
 	}
 	for _, m := range n.members.Load().view.Members {
--- a/bronzenode/reports.go
+++ b/bronzenode/reports.go
@@ -17,26 +17,26 @@
 )
 
 const (
-	// pollers is how many nodes ask each backend server for its report: one
+	// pollersPerServer is how many nodes ask each backend server for its report: one
 	// would leave it unasked for seconds when that node dies.
-	pollers = 2
+	pollersPerServer = 2
 	// pollsPerInterval bounds the reports that one node asks for in one
 	// interval. A poll costs about 250 bytes, so a node's polls take at most
 	// two fifths of its control budget however many servers there are. Those
 	// beyond it are asked in the next intervals; with up to 10 servers for each
 	// node a round takes two.
 	pollsPerInterval = 10
-	// pollsAtOnce bounds the reports that one node asks for at a time.
-	pollsAtOnce = 32
-	// maxReport is the longest report that is read, in bytes.
-	maxReport = 4096
+	// maxConcurrentPolls bounds the reports that one node asks for at a time.
+	maxConcurrentPolls = 32
+	// maxReportBytes is the longest report that is read, in bytes.
+	maxReportBytes = 4096
 	// leavingHold is for how long a server that said that it is leaving gets
 	// no new flows, unless it says so again: several polls, so that a lost one
 	// doesn't bring it back.
 	leavingHold = 10 * time.Second
-	// lostRounds is how many rounds of polls may fail before a server that is
+	// maxFailedRounds is how many rounds of polls may fail before a server that is
 	// leaving is no longer passed on as such.
-	lostRounds = 2
+	maxFailedRounds = 2
 )
 
 // The reasons for which a poll gave nothing.
@@ -56,34 +56,34 @@
 	Leaving bool
 }
 
-// reports asks the backend servers that fall to this node for their reports.
-type reports struct {
+// reportPoller asks the backend servers that fall to this node for their reportPoller.
+type reportPoller struct {
 	node *Node
 	pool pond.Pool
 
 	mu sync.Mutex
 	// latest holds what the last polls said.
 	latest map[bronzeflow.ServerID]latestReport
-	// asking are the servers whose answer is outstanding.
-	asking map[bronzeflow.ServerID]bool
-	// round is how long it takes to ask all servers once.
-	round time.Duration
+	// inFlight are the servers whose answer is outstanding.
+	inFlight map[bronzeflow.ServerID]bool
+	// roundTime is how long it takes to ask all servers once.
+	roundTime time.Duration
 }
 
 // latestReport is a report with what it left out.
 type latestReport struct {
 	bronzepool.Report
-	// counted is set if the server told its connections. Passed on as none,
+	// hasConnections is set if the server told its connections. Passed on as none,
 	// they would draw flows to a server that tells nothing.
-	counted bool
+	hasConnections bool
 }
 
-func newReports(n *Node) *reports {
-	return &reports{
-		node:   n,
-		pool:   pond.NewPool(pollsAtOnce, pond.WithQueueSize(maxQueuedPolls), pond.WithNonBlocking(true)),
-		latest: make(map[bronzeflow.ServerID]latestReport),
-		asking: make(map[bronzeflow.ServerID]bool),
+func newReportPoller(n *Node) *reportPoller {
+	return &reportPoller{
+		node:     n,
+		pool:     pond.NewPool(maxConcurrentPolls, pond.WithQueueSize(maxQueuedPolls), pond.WithNonBlocking(true)),
+		latest:   make(map[bronzeflow.ServerID]latestReport),
+		inFlight: make(map[bronzeflow.ServerID]bool),
 	}
 }
 
@@ -91,99 +91,99 @@
 const maxQueuedPolls = 4096
 
 // run polls at each interval until ctx is done.
-func (r *reports) run(ctx context.Context) error {
+func (r *reportPoller) run(ctx context.Context) error {
 	defer r.pool.StopAndWait()
 	var due dueServers
-	return r.node.every(ctx, r.node.cfg.PollInterval, func() { r.askDue(ctx, &due) })
+	return r.node.every(ctx, r.node.cfg.PollInterval, func() { r.pollDue(ctx, &due) })
 }
 
-// askDue asks the servers that are next.
-func (r *reports) askDue(ctx context.Context, due *dueServers) {
-	list := due.of(r.node)
-	r.setRound(len(list))
+// pollDue asks the servers that are next.
+func (r *reportPoller) pollDue(ctx context.Context, due *dueServers) {
+	list := due.list(r.node)
+	r.setRoundTime(len(list))
 	for range min(len(list), pollsPerInterval) {
 		due.last = (due.last + 1) % len(list)
-		r.start(ctx, list[due.last])
+		r.startPoll(ctx, list[due.last])
 	}
 }
 
-// setRound notes how long a round of n polls takes.
-func (r *reports) setRound(n int) {
+// setRoundTime notes how long a round of n polls takes.
+func (r *reportPoller) setRoundTime(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.round = time.Duration((n+pollsPerInterval-1)/pollsPerInterval) * r.node.cfg.PollInterval
+	r.roundTime = time.Duration((n+pollsPerInterval-1)/pollsPerInterval) * r.node.cfg.PollInterval
 }
 
-// start asks b, unless the last answer is still outstanding.
-func (r *reports) start(ctx context.Context, b *bronzeconf.BackendServer) {
+// startPoll asks b, unless the last answer is still outstanding.
+func (r *reportPoller) startPoll(ctx context.Context, b *bronzeconf.BackendServer) {
 	r.mu.Lock()
-	busy := r.asking[b.ID]
-	r.asking[b.ID] = true
+	busy := r.inFlight[b.ID]
+	r.inFlight[b.ID] = true
 	r.mu.Unlock()
 	if busy {
-		r.failed(pollBusy)
+		r.countFailure(pollBusy)
 		return
 	}
 	err := r.pool.Go(func() {
-		defer r.finish(b.ID)
+		defer r.finishPoll(b.ID)
 		r.poll(ctx, b)
 	})
 	if err != nil {
-		r.finish(b.ID)
-		r.failed(pollBusy)
+		r.finishPoll(b.ID)
+		r.countFailure(pollBusy)
 	}
 }
 
-func (r *reports) finish(id bronzeflow.ServerID) {
+func (r *reportPoller) finishPoll(id bronzeflow.ServerID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.asking, id)
+	delete(r.inFlight, id)
 }
 
 // poll asks b and takes its answer in. A server that doesn't answer keeps
 // its last report, which counts for less the older it is.
-func (r *reports) poll(ctx context.Context, b *bronzeconf.BackendServer) {
+func (r *reportPoller) poll(ctx context.Context, b *bronzeconf.BackendServer) {
 	ctx, cancel := context.WithTimeout(ctx, r.node.cfg.PollInterval)
 	defer cancel()
 	r.node.counters.named(countPolls).add(1)
 	report, reason, err := fetchReport(ctx, r.node.cfg.Client, b.Report)
 	if err != nil {
-		r.failed(reason)
+		r.countFailure(reason)
 		return
 	}
 	r.observe(b.ID, report)
 }
 
-func (r *reports) failed(reason string) {
-	r.node.counters.reason(countPollFailed, reason).add(1)
+func (r *reportPoller) countFailure(reason string) {
+	r.node.counters.withReason(countPollFailed, reason).add(1)
 }
 
-func (r *reports) observe(id bronzeflow.ServerID, report ServerReport) {
-	r.node.gate.pass()
-	seen := latestReport{
-		Report:  bronzepool.Report{Server: id, Leaving: report.Leaving, At: time.Now()},
-		counted: report.Connections != nil,
+func (r *reportPoller) observe(id bronzeflow.ServerID, report ServerReport) {
+	r.node.gate.wait()
+	latest := latestReport{
+		Report:         bronzepool.Report{Server: id, Leaving: report.Leaving, At: time.Now()},
+		hasConnections: report.Connections != nil,
 	}
-	if seen.counted {
-		seen.Connections = *report.Connections
-		r.node.balancer.Observe(seen.Report)
+	if latest.hasConnections {
+		latest.Connections = *report.Connections
+		r.node.balancer.Observe(latest.Report)
 	}
 	if report.Leaving {
 		r.node.balancer.SetLeaving(id, leavingHold)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.latest[id] = seen
+	r.latest[id] = latest
 }
 
 // recent returns the reports that are young enough to be passed on.
-func (r *reports) recent() map[bronzeflow.ServerID]latestReport {
+func (r *reportPoller) recent() map[bronzeflow.ServerID]latestReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
 	list := make(map[bronzeflow.ServerID]latestReport, len(r.latest))
 	for id, report := range r.latest {
-		if now.Sub(report.At) > r.passedOnFor(report.Leaving) {
+		if now.Sub(report.At) > r.sharedFor(report.Leaving) {
 			delete(r.latest, id)
 			continue
 		}
@@ -192,14 +192,14 @@
 	return list
 }
 
-// passedOnFor returns for how long a report is passed on. One that says that
+// sharedFor returns for how long a report is passed on. One that says that
 // its server is leaving is until the next one: dropped in between, it would be
 // news to all nodes twice a round, and such news goes out over the budget.
-func (r *reports) passedOnFor(leaving bool) time.Duration {
+func (r *reportPoller) sharedFor(leaving bool) time.Duration {
 	if leaving {
-		return leavingHold + lostRounds*r.round
+		return leavingHold + maxFailedRounds*r.roundTime
 	}
-	return reportsFor * r.node.cfg.PollInterval
+	return reportShareIntervals * r.node.cfg.PollInterval
 }
 
 // fetchReport asks the endpoint at url; reason tells what failed.
@@ -217,7 +217,7 @@
 	if res.StatusCode != http.StatusOK {
 		return report, pollStatus, errors.Errorf("status %s", res.Status)
 	}
-	body, err := io.ReadAll(io.LimitReader(res.Body, maxReport))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxReportBytes))
 	if err != nil {
 		return report, pollBody, err
 	}
@@ -241,7 +241,7 @@
 	last int
 }
 
-func (d *dueServers) of(n *Node) []*bronzeconf.BackendServer {
+func (d *dueServers) list(n *Node) []*bronzeconf.BackendServer {
 	m, t := n.members.Load(), n.tunnels.Load()
 	if d.members == m && d.tunnels == t {
 		return d.servers
@@ -251,7 +251,7 @@
 	for _, svc := range t.snapshot.Services {
 		for i := range svc.Pool {
 			b := &svc.Pool[i]
-			if b.Report != "" && ranks(names, n.cfg.Name, uint64(b.ID), pollers) {
+			if b.Report != "" && isSelected(names, n.cfg.Name, uint64(b.ID), pollersPerServer) {
 				d.servers = append(d.servers, b)
 			}
 		}
--- a/bronzenode/reports_test.go
+++ b/bronzenode/reports_test.go
@@ -65,7 +65,7 @@
 	require.NoError(t, err)
 	node := &Node{cfg: Config{Name: "a", PollInterval: time.Second, Client: &http.Client{Transport: e}}, counters: counts}
 	node.members.Store(newMembers(&bronzefleet.View{Self: "a", Members: map[string]bronzelink.Member{"a": {Name: "a"}}}))
-	node.reports = newReports(node)
+	node.reports = newReportPoller(node)
 	node.store.OnChange = node.onSnapshot
 	_, err = node.store.Apply(1, []bronzeconf.RecordVersion{{Name: "map-live", Revision: 1}},
 		[]bronzeconf.StoredRecord{{Name: "map-live", Revision: 1, Body: body}})
@@ -89,7 +89,7 @@
 func (n *poller) poll(t *testing.T, d time.Duration, step func()) {
 	for range d / time.Second {
 		time.Sleep(time.Second)
-		n.reports.askDue(t.Context(), &n.due)
+		n.reports.pollDue(t.Context(), &n.due)
 		synctest.Wait()
 		step()
 	}
@@ -168,7 +168,7 @@
 			n.share()
 			require.True(t, left())
 		}
-		n.shares.forget("b")
+		n.sharedLoads.forget("b")
 		time.Sleep(leavingHold)
 		n.share()
 		require.False(t, left())
--- a/bronzenode/run.go
+++ b/bronzenode/run.go
@@ -20,11 +20,11 @@
 	// readHeaderTimeout bounds how long an operator's connection may take to
 	// ask.
 	readHeaderTimeout = 5 * time.Second
-	// vmInterval is how often the list of VMs is read.
-	vmInterval = 5 * time.Second
-	// lackInterval is how often the node looks whether records in force here
+	// vmListInterval is how often the list of VMs is read.
+	vmListInterval = 5 * time.Second
+	// missingInterval is how often the node looks whether records in force here
 	// lack their bodies.
-	lackInterval = time.Second
+	missingInterval = time.Second
 )
 
 // Run serves until ctx is done, Leave or Kill has ended it, or a part of it
@@ -32,7 +32,7 @@
 func (n *Node) Run(ctx context.Context) (err error) {
 	defer close(n.done)
 	defer annotate(&err, "run node "+n.cfg.Name)
-	detach := context.AfterFunc(ctx, func() { n.end(nil) })
+	detach := context.AfterFunc(ctx, func() { n.stopWith(nil) })
 	defer detach()
 	r := newRunner(ctx, n)
 	r.start()
@@ -43,7 +43,7 @@
 	}).Info("serving")
 	<-n.stop
 	r.shutDown()
-	return n.fault
+	return n.runErr
 }
 
 // runner holds the goroutines of a Node that runs. They end by their own
@@ -53,13 +53,13 @@
 	pool   pond.Pool
 	ctx    context.Context
 	cancel context.CancelFunc
-	// farewell is closed when the fleet has told its peers.
-	farewell chan struct{}
-	server   *http.Server
+	// fleetStopped is closed when the fleet has told its peers.
+	fleetStopped chan struct{}
+	server       *http.Server
 }
 
 func newRunner(ctx context.Context, n *Node) *runner {
-	r := &runner{node: n, pool: pond.NewPool(0, pond.WithoutPanicRecovery()), farewell: make(chan struct{})}
+	r := &runner{node: n, pool: pond.NewPool(0, pond.WithoutPanicRecovery()), fleetStopped: make(chan struct{})}
 	r.ctx, r.cancel = context.WithCancel(context.WithoutCancel(ctx))
 	r.server = &http.Server{Handler: n.handler(), ReadHeaderTimeout: readHeaderTimeout}
 	return r
@@ -69,39 +69,39 @@
 func (r *runner) start() {
 	n := r.node
 	for range n.cfg.Readers {
-		r.read(n.edge, (*worker).fromEdge)
-		r.read(n.data, (*worker).fromData)
+		r.read(n.edge, (*worker).handleEdge)
+		r.read(n.data, (*worker).handleData)
 	}
 	ticker := n.newWorker()
 	r.every(bronzecore.TickInterval, ticker.tick)
-	r.task(n.keepMembership(r.farewell))
-	r.task(func(ctx context.Context) error { return n.mesh.Serve(ctx, n.control) })
-	r.task(n.readPlatform)
-	r.task(n.readVMs)
-	r.every(lackInterval, n.askForLacking)
-	r.task(n.reports.run)
+	r.spawn(n.runFleet(r.fleetStopped))
+	r.spawn(func(ctx context.Context) error { return n.mesh.Serve(ctx, n.control) })
+	r.spawn(n.readPlatform)
+	r.spawn(n.readVMs)
+	r.every(missingInterval, n.requestMissing)
+	r.spawn(n.reports.run)
 	r.every(n.cfg.ShareInterval, n.share)
-	r.every(metricsInterval, n.tellMetrics)
-	r.task(func(context.Context) error { return n.serveHTTP(r.server) })
+	r.every(metricsInterval, n.updateMetrics)
+	r.spawn(func(context.Context) error { return n.serveHTTP(r.server) })
 }
 
 // every calls step at each interval in a goroutine of its own.
 func (r *runner) every(interval time.Duration, step func()) {
-	r.task(func(ctx context.Context) error { return r.node.every(ctx, interval, step) })
+	r.spawn(func(ctx context.Context) error { return r.node.every(ctx, interval, step) })
 }
 
 func (r *runner) read(s *bronzesocket.Socket, handle func(w *worker, from netip.AddrPort, b []byte)) {
 	w := r.node.newWorker()
-	r.task(func(context.Context) error {
+	r.spawn(func(context.Context) error {
 		return w.read(s, func(from netip.AddrPort, b []byte) { handle(w, from, b) })
 	})
 }
 
-// task runs f in a goroutine of its own; its error ends the node.
-func (r *runner) task(f func(ctx context.Context) error) {
+// spawn runs f in a goroutine of its own; its error ends the node.
+func (r *runner) spawn(f func(ctx context.Context) error) {
 	r.pool.Submit(func() {
 		if err := f(r.ctx); err != nil {
-			r.node.end(err)
+			r.node.stopWith(err)
 		}
 	})
 }
@@ -111,13 +111,13 @@
 	n := r.node
 	n.gate.open()
 	r.cancel()
-	<-r.farewell
+	<-r.fleetStopped
 	_ = n.mesh.Close()
 	_ = r.server.Close()
 	n.closeAddresses()
 	r.pool.StopAndWait()
-	n.countBytes()
-	n.counters.tell()
+	n.updateByteCounters()
+	n.counters.publish()
 	if err := n.counters.close(); err != nil {
 		n.log.WithError(err).Warn("metrics not closed")
 	}
@@ -133,15 +133,15 @@
 			return nil
 		case <-ticker.C:
 		}
-		n.gate.pass()
+		n.gate.wait()
 		step()
 	}
 }
 
-// keepMembership runs the fleet and closes farewell at its end.
-func (n *Node) keepMembership(farewell chan struct{}) func(context.Context) error {
+// runFleet runs the fleet and closes farewell at its end.
+func (n *Node) runFleet(stopped chan struct{}) func(context.Context) error {
 	return func(ctx context.Context) error {
-		defer close(farewell)
+		defer close(stopped)
 		n.fleet.Join(n.seeds())
 		return n.fleet.Run(ctx)
 	}
@@ -166,7 +166,7 @@
 		Platform: n.platform,
 		Store:    &n.store,
 		Active:   n.readsPlatform,
-		Count:    n.counters.reasons(countConfig),
+		Count:    n.counters.reasonFunc(countConfig),
 		OnError:  func(err error) { n.log.WithError(err).Debug("platform not read") },
 	}
 	err := reader.Run(ctx)
@@ -183,7 +183,7 @@
 		return nil
 	}
 	n.readVMsOnce(ctx)
-	return n.every(ctx, vmInterval, func() {
+	return n.every(ctx, vmListInterval, func() {
 		if !n.members.Load().view.Ready || n.readsPlatform() {
 			n.readVMsOnce(ctx)
 		}
@@ -193,16 +193,16 @@
 func (n *Node) readVMsOnce(ctx context.Context) {
 	vms, err := n.platform.VMs(ctx)
 	if err != nil {
-		n.counters.reason(countConfig, "VMsFailed").add(1)
+		n.counters.withReason(countConfig, "VMsFailed").add(1)
 		n.log.WithError(err).Debug("list of VMs not read")
 		return
 	}
 	n.fleet.SetVMs(vms)
 }
 
-// tellMetrics brings the metrics up to date.
-func (n *Node) tellMetrics() {
-	n.countBytes()
-	n.counters.tell()
+// updateMetrics brings the metrics up to date.
+func (n *Node) updateMetrics() {
+	n.updateByteCounters()
+	n.counters.publish()
 	n.setGauges()
 }
--- a/bronzenode/shares.go
+++ b/bronzenode/shares.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	// reportsFor is for how many poll intervals a report is passed on.
-	reportsFor = 2
-	// renewEvery is how often what the other nodes' loads say of servers that
+	// reportShareIntervals is for how many poll intervals a report is passed on.
+	reportShareIntervals = 2
+	// renewInterval is how often what the other nodes' loads say of servers that
 	// are leaving is put in force again.
-	renewEvery = leavingHold / 4
+	renewInterval = leavingHold / 4
 )
 
-// shares tells the other nodes what this one owns and was reported, and takes
-// in what they tell. The zero shares is ready.
-type shares struct {
+// sharedLoads tells the other nodes what this one owns and was reported, and takes
+// in what they tell. The zero sharedLoads is ready.
+type sharedLoads struct {
 	mu sync.Mutex
-	// heard is what each origin last passed on of each server.
-	heard map[string]map[bronzeflow.ServerID]heardReport
+	// received is what each origin last passed on of each server.
+	received map[string]map[bronzeflow.ServerID]receivedReport
 	// leaving are the servers that each origin's newest load names as such.
-	leaving map[string][]bronzeflow.ServerID
-	renewed time.Time
+	leaving     map[string][]bronzeflow.ServerID
+	lastRenewal time.Time
 }
 
-// heardReport is a report that another node passed on.
-type heardReport struct {
+// receivedReport is a report that another node passed on.
+type receivedReport struct {
 	count uint32
 	at    time.Time
 }
@@ -48,7 +48,7 @@
 // longer than any hold if nothing has changed; without this, servers that
 // leave for hours would get new flows in between.
 func (n *Node) renewLeaving() {
-	for _, id := range n.shares.dueLeaving(time.Now()) {
+	for _, id := range n.sharedLoads.leavingToRenew(time.Now()) {
 		n.balancer.SetLeaving(id, leavingHold)
 	}
 }
@@ -65,7 +65,7 @@
 			// that arrive too late to be of use.
 			continue
 		}
-		if report.counted {
+		if report.hasConnections {
 			load.Reported = append(load.Reported, bronzelink.LoadItem{Server: id, Count: uint32(report.Connections)})
 		}
 		if report.Leaving {
@@ -87,7 +87,7 @@
 		counts[item.Server] = item.Count
 	}
 	n.balancer.SetOwnedFlows(l.Origin, counts)
-	for _, report := range n.shares.news(l, n.cfg.PollInterval) {
+	for _, report := range n.sharedLoads.freshReports(l, n.cfg.PollInterval) {
 		n.balancer.Observe(report)
 	}
 	for _, id := range l.Leaving {
@@ -95,19 +95,19 @@
 	}
 }
 
-// news returns the reports of l that its origin has not passed on before. One
+// freshReports returns the reports of l that its origin has not passed on before. One
 // report may come in several loads; taken for several, it would look as if a
 // server's figures stood still.
-func (s *shares) news(l *bronzelink.Load, interval time.Duration) (list []bronzepool.Report) {
+func (s *sharedLoads) freshReports(l *bronzelink.Load, interval time.Duration) (list []bronzepool.Report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	before := s.heard[l.Origin]
-	heard := make(map[bronzeflow.ServerID]heardReport, len(l.Reported))
+	before := s.received[l.Origin]
+	received := make(map[bronzeflow.ServerID]receivedReport, len(l.Reported))
 	for _, item := range l.Reported {
 		h, ok := before[item.Server]
 		if !ok || h.count != item.Count || now.Sub(h.at) >= interval {
-			h = heardReport{count: item.Count, at: now}
+			h = receivedReport{count: item.Count, at: now}
 			list = append(list, bronzepool.Report{
 				Server:      item.Server,
 				Connections: int(item.Count),
@@ -115,26 +115,26 @@
 				At:          now,
 			})
 		}
-		heard[item.Server] = h
+		received[item.Server] = h
 	}
-	if s.heard == nil {
-		s.heard = make(map[string]map[bronzeflow.ServerID]heardReport)
+	if s.received == nil {
+		s.received = make(map[string]map[bronzeflow.ServerID]receivedReport)
 		s.leaving = make(map[string][]bronzeflow.ServerID)
 	}
-	s.heard[l.Origin] = heard
+	s.received[l.Origin] = received
 	s.leaving[l.Origin] = l.Leaving
 	return list
 }
 
-// dueLeaving returns the servers that the other nodes know to be leaving, if
+// leavingToRenew returns the servers that the other nodes know to be leaving, if
 // it is time to put that in force again.
-func (s *shares) dueLeaving(now time.Time) (ids []bronzeflow.ServerID) {
+func (s *sharedLoads) leavingToRenew(now time.Time) (ids []bronzeflow.ServerID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now.Sub(s.renewed) < renewEvery {
+	if now.Sub(s.lastRenewal) < renewInterval {
 		return nil
 	}
-	s.renewed = now
+	s.lastRenewal = now
 	for _, list := range s.leaving {
 		ids = append(ids, list...)
 	}
@@ -142,9 +142,9 @@
 }
 
 // forget drops what origin told.
-func (s *shares) forget(origin string) {
+func (s *sharedLoads) forget(origin string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.heard, origin)
+	delete(s.received, origin)
 	delete(s.leaving, origin)
 }
--- a/bronzenode/status.go
+++ b/bronzenode/status.go
@@ -112,16 +112,16 @@
 func (n *Node) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET "+MetricsPath, n.counters.handler())
-	mux.HandleFunc("GET "+HealthPath, func(w http.ResponseWriter, _ *http.Request) { answer(w, true) })
-	mux.HandleFunc("GET "+ReadyPath, func(w http.ResponseWriter, _ *http.Request) { answer(w, n.Ready()) })
+	mux.HandleFunc("GET "+HealthPath, func(w http.ResponseWriter, _ *http.Request) { writeHealth(w, true) })
+	mux.HandleFunc("GET "+ReadyPath, func(w http.ResponseWriter, _ *http.Request) { writeHealth(w, n.Ready()) })
 	mux.HandleFunc("GET "+StatusPath, n.serveStatus)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		n.gate.pass()
+		n.gate.wait()
 		mux.ServeHTTP(w, r)
 	})
 }
 
-func answer(w http.ResponseWriter, ok bool) {
+func writeHealth(w http.ResponseWriter, ok bool) {
 	if !ok {
 		http.Error(w, "no", http.StatusServiceUnavailable)
 		return
@@ -147,11 +147,11 @@
 // setGauges brings the metrics that go up and down up to date.
 func (n *Node) setGauges() {
 	s := n.balancer.Status()
-	n.counters.set("Flows", float64(s.Flows))
-	n.counters.set("Attempts", float64(s.Attempts))
-	n.counters.set("Copies", float64(s.Copies))
-	n.counters.set("CopiesDue", float64(s.CopiesDue))
-	n.counters.set("Revision", float64(s.Revision))
-	n.counters.set("Peers", float64(len(n.members.Load().addresses)))
-	n.counters.set("Refusals", float64(len(s.Refusals)))
+	n.counters.setGauge("Flows", float64(s.Flows))
+	n.counters.setGauge("Attempts", float64(s.Attempts))
+	n.counters.setGauge("Copies", float64(s.Copies))
+	n.counters.setGauge("CopiesDue", float64(s.CopiesDue))
+	n.counters.setGauge("Revision", float64(s.Revision))
+	n.counters.setGauge("Peers", float64(len(n.members.Load().addresses)))
+	n.counters.setGauge("Refusals", float64(len(s.Refusals)))
 }
--- a/bronzenode/unit_test.go
+++ b/bronzenode/unit_test.go
@@ -32,7 +32,7 @@
 			return cmp.Or(cmp.Compare(rankScore(b, key), rankScore(a, key)), cmp.Compare(a, b))
 		})
 		for i, name := range sorted {
-			require.Equal(t, i < n, ranks(names, name, key, n), name)
+			require.Equal(t, i < n, isSelected(names, name, key, n), name)
 		}
 	})
 }
@@ -47,7 +47,7 @@
 			bodies = append(bodies, bronzeconf.StoredRecord{Name: fmt.Sprint(i), Body: make([]byte, n)})
 		}
 		var names []string
-		for _, part := range split(bodies) {
+		for _, part := range splitBodies(bodies) {
 			size := 0
 			for _, b := range part {
 				names = append(names, b.Name)
@@ -67,15 +67,15 @@
 func TestGateHoldsUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var g gate
-		g.pass()
+		g.wait()
 		began := time.Now()
-		g.close(time.Second)
-		g.close(time.Hour)
-		g.pass()
+		g.closeFor(time.Second)
+		g.closeFor(time.Hour)
+		g.wait()
 		require.Equal(t, time.Second, time.Since(began))
-		g.close(time.Hour)
+		g.closeFor(time.Hour)
 		g.open()
-		g.pass()
+		g.wait()
 		require.Equal(t, time.Second, time.Since(began))
 	})
 }
@@ -85,37 +85,37 @@
 // news again.
 func TestLoadsRepeatReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var s shares
+		var s sharedLoads
 		load := &bronzelink.Load{Origin: "b", Reported: []bronzelink.LoadItem{{Server: 1, Count: 5}}}
-		require.Len(t, s.news(load, time.Second), 1)
-		require.Empty(t, s.news(load, time.Second))
+		require.Len(t, s.freshReports(load, time.Second), 1)
+		require.Empty(t, s.freshReports(load, time.Second))
 		load.Reported[0].Count = 6
-		require.Equal(t, 6, s.news(load, time.Second)[0].Connections)
+		require.Equal(t, 6, s.freshReports(load, time.Second)[0].Connections)
 		time.Sleep(time.Second)
-		require.Len(t, s.news(load, time.Second), 1)
+		require.Len(t, s.freshReports(load, time.Second), 1)
 		s.forget("b")
-		require.Len(t, s.news(load, time.Second), 1)
+		require.Len(t, s.freshReports(load, time.Second), 1)
 	})
 }
 
 // A record's newest version has faults, so no peer has its body: the node
 // asks for it a few times, and again only at the next revision.
 func TestLackingAsksAFewTimes(t *testing.T) {
-	var l lacking
+	var l missingRecords
 	lacks := func(present []bronzeconf.RecordVersion) (names []string) {
 		for _, v := range present {
 			names = append(names, v.Name)
 		}
 		return names
 	}
-	require.False(t, l.next(lacks))
+	require.False(t, l.shouldRequest(lacks))
 	for revision := uint64(1); revision <= 2; revision++ {
 		l.set(revision, []bronzeconf.RecordVersion{{Name: "map-live", Revision: revision}})
 		l.set(revision, nil)
-		for range lackTries {
-			require.True(t, l.next(lacks))
+		for range maxMissingRequests {
+			require.True(t, l.shouldRequest(lacks))
 		}
-		require.False(t, l.next(lacks))
+		require.False(t, l.shouldRequest(lacks))
 	}
 }
 
@@ -169,7 +169,7 @@
 		w := worker{node: &Node{counters: newCounters()}}
 		packet := bronzeflow.Packet{Kind: c.kind, Payload: len(c.payload), Raw: raw}
 		w.actions = []bronzecore.Action{{Kind: bronzecore.Abort, Packet: packet, Reason: bronzecore.ServerSilent}}
-		w.do()
+		w.executeAll()
 		require.Len(t, w.edge.batch, c.answers)
 		require.Equal(t, uint64(1), w.node.counters.snapshot()["Abort.ServerSilent"])
 	}
--- a/bronzenode/worker.go
+++ b/bronzenode/worker.go
@@ -14,9 +14,9 @@
 	"bronzeusher.example/bronzeusher/bronzewire"
 )
 
-// maxPacket is the longest datagram that is taken, in bytes: a jumbo frame.
+// maxPacketBytes is the longest datagram that is taken, in bytes: a jumbo frame.
 // Longer ones are cut off, and then dropped as truncated.
-const maxPacket = 9216
+const maxPacketBytes = 9216
 
 // worker handles the datagrams of one reader. It has its own parser and
 // buffers, so that workers share nothing but the Balancer.
@@ -31,16 +31,16 @@
 	built []byte
 	edge  outbox
 	data  outbox
-	// done counts the actions of the present batch by kind.
-	done [bronzecore.Send + 1]uint64
-	// seen counts the events of the present batch.
-	seen [eventCount]uint64
+	// actionCounts counts the actions of the present batch by kind.
+	actionCounts [bronzecore.Send + 1]uint64
+	// eventCounts counts the events of the present batch.
+	eventCounts [eventCount]uint64
 }
 
 func (n *Node) newWorker() *worker {
 	w := &worker{node: n}
-	w.edge = outbox{socket: n.edge, cut: n.cfg.Partitioned, refused: &w.seen[sendRefused]}
-	w.data = outbox{socket: n.data, cut: n.cfg.Partitioned, refused: &w.seen[sendRefused]}
+	w.edge = outbox{socket: n.edge, partitioned: n.cfg.Partitioned, refused: &w.eventCounts[sendRefused]}
+	w.data = outbox{socket: n.data, partitioned: n.cfg.Partitioned, refused: &w.eventCounts[sendRefused]}
 	return w
 }
 
@@ -50,7 +50,7 @@
 	defer annotate(&err, "read "+s.LocalAddrPort().String())
 	batch := make([]bronzesocket.Datagram, bronzesocket.MaxBatch)
 	for i := range batch {
-		batch[i].Buf = make([]byte, maxPacket)
+		batch[i].Buf = make([]byte, maxPacketBytes)
 	}
 	local := s.LocalAddrPort()
 	for {
@@ -61,10 +61,10 @@
 		case err != nil:
 			return err
 		}
-		w.node.gate.pass()
+		w.node.gate.wait()
 		for i := range batch[:n] {
 			d := &batch[i]
-			if cut := w.node.cfg.Partitioned; cut != nil && cut(d.Addr, local) {
+			if partitioned := w.node.cfg.Partitioned; partitioned != nil && partitioned(d.Addr, local) {
 				continue
 			}
 			handle(d.Addr, d.Buf[:d.N])
@@ -79,51 +79,51 @@
 // effect.
 func (w *worker) tick() {
 	w.actions = w.node.balancer.Tick(w.actions[:0])
-	w.do()
+	w.executeAll()
 	_ = w.flush()
 }
 
-// fromEdge handles an encapsulated packet. Who sent it is known from the
+// handleEdge handles an encapsulated packet. Who sent it is known from the
 // tunnel endpoint alone: a caller's packet can't pass for a server's unless
 // its sender forges addresses on the operator's own network.
-func (w *worker) fromEdge(from netip.AddrPort, b []byte) {
+func (w *worker) handleEdge(from netip.AddrPort, b []byte) {
 	if ids := w.node.tunnels.Load().ids[from]; ids != nil {
 		if err := w.parser.FromServer(b, &w.packet); err != nil {
-			w.malformed(err)
+			w.reject(err)
 			return
 		}
-		w.seen[serverPacket]++
+		w.eventCounts[serverPacket]++
 		w.actions = w.node.balancer.FromServer(&w.packet, ids, w.actions[:0])
-		w.do()
+		w.executeAll()
 		return
 	}
 	if err := w.parser.FromCaller(b, &w.packet); err != nil {
-		w.malformed(err)
+		w.reject(err)
 		return
 	}
-	w.seen[callerPacket]++
-	w.leavePayload()
+	w.eventCounts[callerPacket]++
+	w.stripPayload()
 	w.actions = w.node.balancer.FromCaller(&w.packet, w.actions[:0])
-	w.do()
+	w.executeAll()
 }
 
-// fromData handles a frame of another node. One from an address that no
+// handleData handles a frame of another node. One from an address that no
 // member has is dropped: it could be a process of another Customer that got
 // the address of a node that is gone.
-func (w *worker) fromData(from netip.AddrPort, b []byte) {
+func (w *worker) handleData(from netip.AddrPort, b []byte) {
 	name, ok := w.node.members.Load().names[from]
 	if !ok {
-		w.seen[unknownPeer]++
+		w.eventCounts[unknownPeer]++
 		return
 	}
-	if err := w.decideFrame(name, b); err != nil {
-		w.malformed(err)
+	if err := w.decideOnFrame(name, b); err != nil {
+		w.reject(err)
 		return
 	}
-	w.do()
+	w.executeAll()
 }
 
-func (w *worker) decideFrame(peer string, b []byte) error {
+func (w *worker) decideOnFrame(peer string, b []byte) error {
 	if err := bronzewire.ParseFrame(b, &w.frame); err != nil {
 		return err
 	}
@@ -135,35 +135,35 @@
 			return err
 		}
 		w.packet.Hops = w.frame.Hops
-		w.seen[peerPacket]++
-		w.leavePayload()
+		w.eventCounts[peerPacket]++
+		w.stripPayload()
 		w.actions = balancer.FromPeer(&w.packet, peer, w.actions)
 	case bronzewire.FrameReply:
 		if err := w.parser.FromServer(w.frame.Body, &w.packet); err != nil {
 			return err
 		}
 		w.packet.Hops = w.frame.Hops
-		w.seen[peerReply]++
+		w.eventCounts[peerReply]++
 		w.actions = balancer.ReplyFromPeer(&w.packet, w.frame.Server, w.actions)
 	default:
 		m, err := bronzelink.DecodeFlow(w.frame.Body)
 		if err != nil {
 			return err
 		}
-		w.seen[flowMessage]++
+		w.eventCounts[flowMessage]++
 		w.actions = balancer.HandleMessage(m, peer, w.actions)
 	}
 	return nil
 }
 
-func (w *worker) malformed(err error) {
-	w.node.counters.reason(countMalformed, bronzewire.Reason(err)).add(1)
+func (w *worker) reject(err error) {
+	w.node.counters.withReason(countMalformed, bronzewire.Reason(err)).add(1)
 }
 
 // flush adds up the batch's counts and sends what it has led to, in this order:
 // whoever sees a packet finds it counted.
 func (w *worker) flush() (err error) {
-	w.count()
+	w.flushCounts()
 	err = w.edge.flush()
 	if dataErr := w.data.flush(); err == nil {
 		err = dataErr
@@ -172,23 +172,23 @@
 	return err
 }
 
-// count adds the counts of a batch to the node's: once in a batch, because
+// flushCounts adds the counts of a batch to the node's: once in a batch, because
 // counters that all workers share would be contended for at each packet.
-func (w *worker) count() {
+func (w *worker) flushCounts() {
 	c := w.node.counters
-	for kind := range w.done {
-		if w.done[kind] > 0 {
-			c.actions[kind][0].add(w.done[kind])
-			w.done[kind] = 0
+	for kind := range w.actionCounts {
+		if w.actionCounts[kind] > 0 {
+			c.actions[kind][0].add(w.actionCounts[kind])
+			w.actionCounts[kind] = 0
 		}
 	}
-	if w.seen[callerPacket] > 0 {
+	if w.eventCounts[callerPacket] > 0 {
 		w.node.quietSince.Store(time.Now().UnixNano())
 	}
-	for e := range w.seen {
-		if w.seen[e] > 0 {
-			c.events[e].add(w.seen[e])
-			w.seen[e] = 0
+	for e := range w.eventCounts {
+		if w.eventCounts[e] > 0 {
+			c.events[e].add(w.eventCounts[e])
+			w.eventCounts[e] = 0
 		}
 	}
 }
