--- a/bronzenode/directory.go
+++ b/bronzenode/directory.go
@@ -8,8 +8,8 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// tunnels tells which backend servers a tunnel endpoint serves. It is
-// immutable and made anew for each snapshot.
+// tunnels maps tunnel endpoints to the backend servers behind them. It is
+// immutable and rebuilt for each snapshot.
 type tunnels struct {
 	snapshot *bronzeconf.Snapshot
 	ids      map[netip.AddrPort][]bronzeflow.ServerID
@@ -26,7 +26,7 @@
 	return t
 }
 
-// address returns the tunnel endpoint of a server that is in force.
+// address returns the tunnel endpoint of a server in the configuration.
 func (t *tunnels) address(id bronzeflow.ServerID) (a netip.AddrPort, ok bool) {
 	_, b, ok := t.snapshot.Server(id)
 	if !ok {
@@ -35,8 +35,8 @@
 	return b.Address, true
 }
 
-// members tells which node uses a data address. It is immutable and made
-// anew for each view.
+// members maps data addresses to the names of other nodes and back. It is
+// immutable and rebuilt for each view.
 type members struct {
 	view      *bronzefleet.View
 	names     map[netip.AddrPort]string
--- a/bronzenode/execute.go
+++ b/bronzenode/execute.go
@@ -7,8 +7,8 @@
 	"bronzeusher.example/bronzeusher/bronzewire"
 )
 
-// executeAll carries the worker's actions out, in order. What they send leaves with
-// the next flush.
+// executeAll counts and executes the worker's actions in order. The datagrams
+// are sent with the next flush.
 func (w *worker) executeAll() {
 	for i := range w.actions {
 		a := &w.actions[i]
@@ -47,8 +47,8 @@
 func (w *worker) sendToServer(a *bronzecore.Action, b []byte) {
 	address, ok := w.node.tunnels.Load().address(a.Server)
 	if !ok {
-		// The server went out of force after the decision: its address may
-		// be another Customer's by now.
+		// The server left the configuration after the decision; its address
+		// may be another Customer's by now.
 		w.eventCounts[unknownAddress]++
 		return
 	}
@@ -76,7 +76,7 @@
 	w.sendToPeer(a, bronzewire.Frame{Kind: bronzewire.FrameFlow, Body: b})
 }
 
-// refuse answers the caller in its service's name.
+// refuse answers the caller on behalf of the service.
 func (w *worker) refuse(a *bronzecore.Action) {
 	b, ok := w.build(func(dst []byte) ([]byte, error) {
 		return bronzewire.Refusal(dst, a.Packet.Raw)
@@ -86,12 +86,11 @@
 	}
 }
 
-// abort ends the caller's flow without saying that nothing ran. A reset in
-// answer to an opening, or an ICMP error in answer to a datagram, would say
-// just that, and the caller would send a request again that may have run. If
-// what is answered carries a request, the caller is left to its own timeout,
-// which makes no claim; a reset of an established connection makes none
-// either.
+// abort ends the caller's flow without claiming that nothing ran. A reset in
+// answer to an opening, or an ICMP error in answer to a datagram, would claim
+// that, and the caller could repeat a request that may have run. If such a
+// packet carries a request, the caller is therefore left to its own timeout. A
+// reset of an established connection makes no such claim.
 func (w *worker) abort(a *bronzecore.Action) {
 	opens := a.Packet.Kind == bronzeflow.Open || a.Packet.Kind == bronzeflow.Datagram
 	if opens && a.Packet.Payload > 0 {
@@ -109,9 +108,8 @@
 	}
 }
 
-// fromServer reports whether a Cancel answers a server's own packet. That is
-// so for a late answer alone: all other packets that are cancelled are the
-// caller's.
+// fromServer reports whether a Cancel answers a packet of the server. That is
+// so for a late answer only; all other cancelled packets are the caller's.
 func fromServer(a *bronzecore.Action) bool {
 	return a.Reason == bronzecore.LateAnswer
 }
@@ -125,7 +123,7 @@
 	}
 }
 
-// build appends a packet to the worker's memory; ok is false if there is
+// build appends a packet to w.built and returns it; ok is false if there is
 // nothing to send.
 func (w *worker) build(packet func(dst []byte) ([]byte, error)) (b []byte, ok bool) {
 	start := len(w.built)
--- a/bronzenode/gate.go
+++ b/bronzenode/gate.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// gate holds up everything that a node does, as if its process was stopped.
-// The zero gate is open.
+// gate blocks a node's activity, as if its process was stopped. The zero gate
+// is open.
 type gate struct {
 	closed atomic.Pointer[chan struct{}]
 }
@@ -22,7 +22,7 @@
 	}
 }
 
-// closeFor shuts the gate for d, unless it is shut already.
+// closeFor closes the gate for d, unless it is closed already.
 func (g *gate) closeFor(d time.Duration) {
 	closed := make(chan struct{})
 	if !g.closed.CompareAndSwap(nil, &closed) {
@@ -31,7 +31,7 @@
 	time.AfterFunc(d, func() { g.release(&closed) })
 }
 
-// open ends a pause early, so that a node can be ended while it is paused.
+// open ends a pause early, so that a paused node can be stopped.
 func (g *gate) open() {
 	if closed := g.closed.Load(); closed != nil {
 		g.release(closed)
--- a/bronzenode/opening.go
+++ b/bronzenode/opening.go
@@ -9,12 +9,12 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// stripPayload takes the request out of a TCP opening; its caller sends it
-// again once the opening is accepted. A forwarded request commits its flow to
-// a server that has promised nothing yet. Were that server then silent, or
-// this node killed before it told anyone, the flow's next owner would find
-// the caller's repeated opening, place it elsewhere, and the request would run
-// twice. An opening without payload runs nothing wherever it is repeated.
+// stripPayload removes the payload from a TCP opening; the caller sends it
+// again once its opening is accepted. Forwarding a request commits its flow to
+// a server that hasn't accepted yet. If that server was then silent, or this
+// node was killed before it told any other, the flow's next owner would get the
+// caller's retransmission, place it elsewhere, and the request would run twice.
+// An opening without payload runs nothing wherever it is repeated.
 func (w *worker) stripPayload() {
 	p := &w.packet
 	if p.Kind != bronzeflow.Open || p.Payload == 0 {
@@ -27,7 +27,8 @@
 	w.eventCounts[payloadStripped]++
 }
 
-// Offsets in the headers of IP and TCP.
+// Offsets in the headers of IP and TCP, and the unit of the IPv4 header length,
+// in bytes.
 const (
 	ipv4Length     = 2
 	ipv4Checksum   = 10
@@ -57,7 +58,7 @@
 	return dst
 }
 
-// tcpHeaderLength returns the length with options of the TCP header in raw, a
+// tcpHeaderLength returns the length, with options, of the TCP header in raw, a
 // packet that was parsed before.
 func tcpHeaderLength(raw []byte) int {
 	first := layers.LayerTypeIPv6
@@ -70,12 +71,13 @@
 
 func isIPv4(raw []byte) bool { return raw[0]>>4 == 4 }
 
+// subtractLength reduces a 16-bit length field by n bytes.
 func subtractLength(length []byte, n int) {
 	binary.BigEndian.PutUint16(length, binary.BigEndian.Uint16(length)-uint16(n))
 }
 
-// addressBytes returns the bytes of a that add up in a checksum. Those that
-// make an IPv4 address an IPv6 one are left out.
+// addressBytes returns the bytes of a for a pseudo-header checksum: all 16 of an
+// IPv6 address, or the last 4 of an IPv4-mapped one.
 func addressBytes(a [16]byte) []byte {
 	const mapped = "\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\xff\xff"
 	if string(a[:len(mapped)]) == mapped {
@@ -95,6 +97,7 @@
 	return s
 }
 
+// foldChecksum folds s into 16 bits by adding the carries.
 func foldChecksum(s uint32) uint16 {
 	for s > 0xffff {
 		s = s>>16 + s&0xffff
--- a/bronzenode/outbox.go
+++ b/bronzenode/outbox.go
@@ -8,8 +8,8 @@
 	"bronzeusher.example/bronzeusher/bronzesocket"
 )
 
-// outbox collects datagrams for one socket, so that a batch of decisions
-// costs one system call. One goroutine at a time may use it.
+// outbox collects datagrams for one socket, so that a batch of decisions takes
+// one system call. It must not be used concurrently.
 type outbox struct {
 	socket      *bronzesocket.Socket
 	partitioned func(from, to netip.AddrPort) bool
@@ -17,7 +17,8 @@
 	batch       []bronzesocket.Datagram
 }
 
-// put adds b, which must not change until the next flush.
+// put adds b, which must not change until the next flush. If the two addresses
+// are partitioned, b is discarded.
 func (o *outbox) put(to netip.AddrPort, b []byte) {
 	if o.partitioned != nil && o.partitioned(o.socket.LocalAddrPort(), to) {
 		return
@@ -25,8 +26,8 @@
 	o.batch = append(o.batch, bronzesocket.Datagram{Addr: to, Buf: b, N: len(b)})
 }
 
-// flush sends what was put. A datagram that the kernel refuses is counted and
-// left out; the network may lose any of them as well.
+// flush sends the collected datagrams. One that the kernel refuses is counted
+// and skipped, as the network may lose any of them too.
 func (o *outbox) flush() (err error) {
 	rest := o.batch
 	for len(rest) > 0 {
--- a/bronzenode/worker.go
+++ b/bronzenode/worker.go
@@ -14,12 +14,12 @@
 	"bronzeusher.example/bronzeusher/bronzewire"
 )
 
-// maxPacketBytes is the longest datagram that is taken, in bytes: a jumbo frame.
-// Longer ones are cut off, and then dropped as truncated.
+// maxPacketBytes is the length of the longest datagram that is accepted: a
+// jumbo frame. Longer ones are cut off, and then dropped as truncated.
 const maxPacketBytes = 9216
 
 // worker handles the datagrams of one reader. It has its own parser and
-// buffers, so that workers share nothing but the Balancer.
+// buffers, which need no locking.
 type worker struct {
 	node   *Node
 	parser bronzewire.Parser
@@ -27,13 +27,13 @@
 	frame  bronzewire.Frame
 	// actions are the decisions on one packet.
 	actions []bronzecore.Action
-	// built holds packets and frames made for the present batch.
+	// built holds the packets and frames created for the current batch.
 	built []byte
 	edge  outbox
 	data  outbox
-	// actionCounts counts the actions of the present batch by kind.
+	// actionCounts counts the current batch's actions without a reason, by kind.
 	actionCounts [bronzecore.Send + 1]uint64
-	// eventCounts counts the events of the present batch.
+	// eventCounts counts the events of the current batch.
 	eventCounts [eventCount]uint64
 }
 
@@ -44,8 +44,8 @@
 	return w
 }
 
-// read serves a socket until it is closed: a batch of datagrams in, the
-// decisions, and a batch of datagrams out.
+// read serves a socket until it is closed: it reads a batch of datagrams,
+// handles each, and sends the resulting batch.
 func (w *worker) read(s *bronzesocket.Socket, handle func(from netip.AddrPort, b []byte)) (err error) {
 	defer annotate(&err, "read "+s.LocalAddrPort().String())
 	batch := make([]bronzesocket.Datagram, bronzesocket.MaxBatch)
@@ -75,17 +75,17 @@
 	}
 }
 
-// tick does what is due by time. Once the sockets are closed it is of no
-// effect.
+// tick executes the actions that are due by time. Once the sockets are closed,
+// nothing is sent.
 func (w *worker) tick() {
 	w.actions = w.node.balancer.Tick(w.actions[:0])
 	w.executeAll()
 	_ = w.flush()
 }
 
-// handleEdge handles an encapsulated packet. Who sent it is known from the
-// tunnel endpoint alone: a caller's packet can't pass for a server's unless
-// its sender forges addresses on the operator's own network.
+// handleEdge handles an encapsulated packet. Only the tunnel endpoint
+// distinguishes a server's packet from a caller's, so a caller's can't pass for
+// a server's unless its sender forges addresses on the operator's own network.
 func (w *worker) handleEdge(from netip.AddrPort, b []byte) {
 	if ids := w.node.tunnels.Load().ids[from]; ids != nil {
 		if err := w.parser.FromServer(b, &w.packet); err != nil {
@@ -107,9 +107,9 @@
 	w.executeAll()
 }
 
-// handleData handles a frame of another node. One from an address that no
-// member has is dropped: it could be a process of another Customer that got
-// the address of a node that is gone.
+// handleData handles a frame of another node. A frame from an address that no
+// member has is dropped: its sender could be a process of another Customer
+// that got the address of a former node.
 func (w *worker) handleData(from netip.AddrPort, b []byte) {
 	name, ok := w.node.members.Load().names[from]
 	if !ok {
@@ -160,8 +160,8 @@
 	w.node.counters.withReason(countMalformed, bronzewire.Reason(err)).add(1)
 }
 
-// flush adds up the batch's counts and sends what it has led to, in this order:
-// whoever sees a packet finds it counted.
+// flush adds up the batch's counts and sends its datagrams, in this order, so
+// that whoever sees a packet finds it counted.
 func (w *worker) flush() (err error) {
 	w.flushCounts()
 	err = w.edge.flush()
@@ -172,8 +172,8 @@
 	return err
 }
 
-// flushCounts adds the counts of a batch to the node's: once in a batch, because
-// counters that all workers share would be contended for at each packet.
+// flushCounts adds the batch's counts to the node's. Doing so once per batch
+// avoids contention for the shared counters at each packet.
 func (w *worker) flushCounts() {
 	c := w.node.counters
 	for kind := range w.actionCounts {
@@ -198,7 +198,7 @@
 	return errors.Is(err, net.ErrClosed)
 }
 
-// annotate wraps a function's named error result with what it was doing.
+// annotate wraps *err, if not nil, with a description of what failed.
 func annotate(err *error, doing string) {
 	if *err != nil {
 		*err = errors.Wrap(*err, doing)
