--- a/bronzenode/config.go
+++ b/bronzenode/config.go
@@ -22,10 +22,10 @@
 	maxDefaultReaders    = 4
 )
 
-// Config is what a Node is told at its start. Zero durations and counts mean
-// the defaults. Ports may be 0; the Node's getters tell what was bound.
+// Config holds the settings of a Node. Zero durations and counts select the
+// defaults. Ports may be 0; the Node's methods return the bound addresses.
 type Config struct {
-	// Name is the node's name, one of a kind in the fleet.
+	// Name is the node's name, unique in the fleet.
 	Name string
 	// Fleet is the name of the fleet; nodes of other fleets are refused.
 	Fleet            string
@@ -35,18 +35,18 @@
 	// backend servers (UDP).
 	EdgeAddress netip.AddrPort
 	// DataAddress takes relayed packets and flow messages from other nodes
-	// (UDP). It is told to them, so its IP can't be unspecified.
+	// (UDP). It is advertised to them, so its IP can't be unspecified.
 	DataAddress netip.AddrPort
 	// ControlAddress takes the control links of other nodes (TCP). It is
-	// told to them, so its IP can't be unspecified.
+	// advertised to them, so its IP can't be unspecified.
 	ControlAddress netip.AddrPort
 	// HTTPAddress serves metrics, health and status to operators (TCP).
 	HTTPAddress netip.AddrPort
 	// FabricAddress is where packets to callers are sent (UDP).
 	FabricAddress netip.AddrPort
-	// Platform is the base URL of the platform, or empty without one.
+	// Platform is the base URL of the platform; empty means none.
 	Platform string
-	// Peers are control addresses of nodes to join through.
+	// Peers are the control addresses of nodes to join through.
 	Peers []string
 	// Certificate, Key and Authority are PEM files for mutual TLS on control
 	// links; they are read again when they change. Without them Plain must
@@ -55,50 +55,51 @@
 	Key         string
 	Authority   string
 	Plain       bool
-	// Capacity bounds the flow table.
+	// Capacity bounds the number of entries in the flow table.
 	Capacity int
-	// Readers is how many goroutines serve each packet socket.
+	// Readers is the number of goroutines that serve each packet socket.
 	Readers int
-	// Timing holds the decisions' durations.
+	// Timing holds the durations of the decisions.
 	Timing bronzecore.Timing
-	// Heartbeat and JoinWait are the fleet's interval and its wait for a
-	// first peer; 0 means the fleet's defaults.
+	// Heartbeat is the fleet's heartbeat interval, JoinWait bounds the wait
+	// for a first peer; 0 selects the fleet's default.
 	Heartbeat time.Duration
 	JoinWait  time.Duration
-	// PollInterval is how often backend servers' reports are asked for, at
-	// most pollsPerInterval of them each time.
+	// PollInterval is the time between two rounds of polls for backend
+	// servers' reports, each of at most pollsPerInterval servers.
 	PollInterval time.Duration
-	// ShareInterval is the least time between two loads that other nodes are
-	// told. The fleet's byte budget makes it longer.
+	// ShareInterval is the minimum time between two loads sent to the other
+	// nodes. The fleet's byte budget may make it longer.
 	ShareInterval time.Duration
-	// LeaveQuiet is how long no packet of a caller may have come before a
-	// leaving node ends.
+	// LeaveQuiet is how long a leaving node must have received no caller's
+	// packet from the fabric before it ends.
 	LeaveQuiet time.Duration
-	// LeaveLimit bounds the whole time of leaving.
+	// LeaveLimit bounds the total time that leaving takes.
 	LeaveLimit time.Duration
 
-	// Log is where the node logs; nil means the standard logger.
+	// Log takes the node's log; nil means the standard logger.
 	Log *logrus.Logger
-	// Client asks the platform and the reports; nil means a client of the
-	// node's own.
+	// Client makes the requests to the platform and for reports; nil means a
+	// client of the node's own.
 	Client *http.Client
-	// Partitioned, when set, tells which datagrams and control links from one
-	// address to another are lost. Tests and demos make partitions by it.
+	// Partitioned, if set, reports whether datagrams and control links from
+	// one address to another are lost. Tests and demos simulate network
+	// partitions with it.
 	Partitioned func(from, to netip.AddrPort) bool
 }
 
-// FieldError says which field of a Config is wrong and why.
+// FieldError reports which field of a Config is invalid, and why.
 type FieldError struct {
 	Field  string
 	Reason string
 }
 
-// Error describes the fault.
+// Error returns the field and the reason.
 func (e *FieldError) Error() string {
 	return e.Field + ": " + e.Reason
 }
 
-// Check returns the first fault of c as a *FieldError, or nil.
+// Check returns the first invalid field of c as a *FieldError, or nil.
 func (c *Config) Check() error {
 	checks := []func() *FieldError{
 		c.checkNames,
@@ -193,7 +194,7 @@
 	return nil
 }
 
-// checkPlain keeps unauthenticated links on one machine: elsewhere anyone
+// checkPlain confines unauthenticated links to one machine: elsewhere anyone
 // could join the fleet and have callers' packets relayed to them.
 func (c *Config) checkPlain() *FieldError {
 	if !c.ControlAddress.Addr().IsLoopback() {
--- a/bronzenode/doc.go
+++ b/bronzenode/doc.go
@@ -2,23 +2,23 @@
 // opens the sockets, links the node with its peers, reads the platform and
 // the backend servers' reports, and serves metrics, health and status.
 //
-// A Node has four addresses. The edge address takes IP packets in UDP from the
-// fabric and from the tunnel endpoints of backend servers; a datagram is a
-// server's if it comes from the address and port that the server's record
-// names, and a caller's otherwise. The data address takes packets and messages
-// about flows from other nodes, the control address their links. The HTTP
-// address is for operators and for the fabric's health check.
+// A Node has four addresses. The edge address takes IP packets encapsulated in
+// UDP from the fabric and from the tunnel endpoints of backend servers; a
+// datagram from the address and port of a server's record is that server's,
+// any other is a caller's. The data address takes relayed packets and flow
+// messages from other nodes, the control address their control links. The
+// HTTP address is for operators and for the fabric's health check.
 //
-// The packet path is a few goroutines for each socket that read a batch of
-// datagrams, decide on each, and write what follows in a batch. They share
-// nothing but the decisions' tables, which are sharded, and two directories
-// that are replaced whole, one with each configuration and one with each view
-// of the fleet.
+// A few goroutines serve each packet socket. Each reads a batch of datagrams,
+// decides on every one, and writes the resulting packets in a batch. Apart from
+// counters, they share only the Balancer's sharded tables and two immutable
+// lookup tables, one replaced with each configuration and one with each view of
+// the fleet.
 //
-// Two nodes of each zone read the platform and the others get records from
-// their peers; two nodes ask each backend server for its report and tell the
-// others. Which ones do is worked out from the view by rendezvous hashing, so
-// that it takes no exchange.
+// Two nodes of each zone read the platform, and the others get records from
+// their peers. Two nodes poll each backend server for its report and tell the
+// others. Rendezvous hashing over the view selects these nodes, so that they
+// needn't coordinate.
 //
 // # Usage
 //
@@ -42,7 +42,8 @@
 //	go leaveOn(sigterm, n) // calls n.Leave(ctx)
 //	return n.Run(ctx)
 //
-// A test or a demonstration runs several nodes in one process on loopback
-// addresses, with Plain set and ports of 0. Cut makes partitions between
-// them, Pause stops a node for a while, and Kill ends one without notice.
+// Tests and demonstrations can run several nodes in one process on loopback
+// addresses, with Plain set and ports of 0. Config.Partitioned simulates
+// partitions between them, Pause suspends a node for a while, and Kill ends
+// one without notifying its peers.
 package bronzenode
--- a/bronzenode/leave.go
+++ b/bronzenode/leave.go
@@ -10,18 +10,18 @@
 	"bronzeusher.example/bronzeusher/bronzecore"
 )
 
-// leaveCheckInterval is how often a leaving node looks whether it may end.
+// leaveCheckInterval is how often a leaving node checks whether it may end.
 const leaveCheckInterval = 50 * time.Millisecond
 
 // ErrLeaving is returned by a second call of Leave.
-var ErrLeaving = errors.New("node is leaving already")
+var ErrLeaving = errors.New("node is already leaving")
 
-// Leave takes the node out of the fleet: it is no longer ready, places nothing
-// new, hands over what the other nodes can't work out, and goes on relaying.
-// It ends once all is handed over and no packet has come from the fabric for
-// Config.LeaveQuiet, at the latest after Config.LeaveLimit or when ctx is
-// done. Leave returns when Run has; undone is what no other node is known to
-// hold. Run must have been called.
+// Leave takes the node out of the fleet: the node is no longer ready, places
+// no new flows, hands over the state that other nodes can't compute, and goes
+// on relaying. It ends once all is handed over and no caller's packet has come
+// from the fabric for Config.LeaveQuiet, at the latest after Config.LeaveLimit
+// or when ctx is done. Leave returns after Run has; remaining counts what was
+// not handed over. Run must have been called.
 func (n *Node) Leave(ctx context.Context) (remaining bronzecore.Remaining, err error) {
 	defer annotate(&err, "leave")
 	if n.leaving.Swap(true) {
@@ -41,9 +41,9 @@
 	return remaining, ctx.Err()
 }
 
-// announce tells the peers that this node is leaving, and closes told once
-// they know. The decisions hear of it with the view that follows, which has
-// other owners for all flows.
+// announce tells the peers that this node is leaving, and closes the returned
+// channel once they know or ctx is done. The next view, in which other nodes
+// own all flows, makes the Balancer leave too.
 func (n *Node) announce(ctx context.Context) (announced <-chan struct{}) {
 	done := make(chan struct{})
 	go func() {
@@ -79,9 +79,9 @@
 	}
 }
 
-// isQuiet reports whether the fabric has let go of this node: it goes on
-// handing packets over for as long as it hasn't seen that the node isn't
-// ready, and those would be lost.
+// isQuiet reports whether the fabric has stopped sending to this node. The
+// fabric goes on until it has seen that the node isn't ready, and packets sent
+// after the node's end would be lost.
 func (n *Node) isQuiet() bool {
 	since := time.Unix(0, n.quietSince.Load())
 	return time.Since(since) >= n.cfg.LeaveQuiet
--- a/bronzenode/node.go
+++ b/bronzenode/node.go
@@ -18,16 +18,17 @@
 	"bronzeusher.example/bronzeusher/bronzesocket"
 )
 
-// Bounds of all Customers' flows on one node, of which each Customer may use
-// what the others leave: the openings that the decisions have room for, and
-// half of the default flow table, so that learned flows have room too.
+// Bounds on the flows of all Customers on one node, of which each Customer may
+// use what the others leave. maxHalfOpen is the number of openings that the
+// decisions have room for; maxOpen is half of the default flow table, which
+// leaves room for learned flows.
 const (
 	maxHalfOpen = 16 << 10
 	maxOpen     = bronzeflow.DefaultCapacity / 2
 )
 
-// Node is one balancer: the decisions of a bronzecore.Balancer with sockets,
-// peers, platform and metrics around them. New makes one; Run runs it once.
+// Node is one balancer: a bronzecore.Balancer with sockets, peers, platform
+// and metrics. New creates it; Run may be called once.
 type Node struct {
 	cfg         Config
 	log         *logrus.Entry
@@ -50,10 +51,10 @@
 
 	tunnels atomic.Pointer[tunnels]
 	members atomic.Pointer[members]
-	// revision is that of the configuration that the decisions have.
+	// revision is that of the configuration that the Balancer has.
 	revision atomic.Uint64
-	// quietSince is when the last packet came in at the edge, in Unix
-	// nanoseconds.
+	// quietSince is when the last batch with a caller's packet from the fabric
+	// was handled, or when leaving began, in Unix nanoseconds.
 	quietSince atomic.Int64
 	leaving    atomic.Bool
 	killed     atomic.Bool
@@ -66,9 +67,9 @@
 }
 
 // New opens the addresses of cfg and returns the Node that will serve them.
-// If cfg is at fault, the error has a *FieldError.
+// If cfg is invalid, the error wraps a *FieldError.
 func New(cfg Config) (n *Node, err error) {
-	defer annotate(&err, "make a node")
+	defer annotate(&err, "create node")
 	if err = cfg.Check(); err != nil {
 		return nil, err
 	}
@@ -104,7 +105,7 @@
 	return errors.Wrap(err, "HTTPAddress")
 }
 
-// connect sets the parts up and ties them to each other.
+// connect configures the parts of the node and connects them to each other.
 func (n *Node) connect() {
 	n.balancer.Name = n.cfg.Name
 	n.balancer.AvailabilityZone = n.cfg.AvailabilityZone
@@ -158,15 +159,15 @@
 	m.Dial = n.dial
 }
 
-// incarnationShift leaves room below the start time of a process for the
-// fleet to count in.
+// incarnationShift leaves room below the start time of a process, in
+// milliseconds, for the fleet to increment the incarnation.
 const incarnationShift = 16
 
 func newIncarnation(started time.Time) uint64 {
 	return uint64(started.UnixMilli()) << incarnationShift
 }
 
-// self returns what this node says of itself to its peers.
+// self returns this node as it describes itself to its peers.
 func (n *Node) self() bronzelink.Member {
 	if m, ok := n.fleet.View().Members[n.cfg.Name]; ok {
 		return m
@@ -176,16 +177,16 @@
 	return m
 }
 
-// EdgeAddress returns the address that takes encapsulated packets.
+// EdgeAddress returns the bound address that takes encapsulated packets.
 func (n *Node) EdgeAddress() netip.AddrPort { return n.edge.LocalAddrPort() }
 
-// DataAddress returns the address that takes frames of other nodes.
+// DataAddress returns the bound address that takes frames of other nodes.
 func (n *Node) DataAddress() netip.AddrPort { return n.data.LocalAddrPort() }
 
-// ControlAddress returns the address that takes control links.
+// ControlAddress returns the bound address that takes control links.
 func (n *Node) ControlAddress() netip.AddrPort { return boundAddress(n.control) }
 
-// HTTPAddress returns the address that serves metrics, health and status.
+// HTTPAddress returns the bound address that serves metrics, health and status.
 func (n *Node) HTTPAddress() netip.AddrPort { return boundAddress(n.http) }
 
 func boundAddress(l net.Listener) netip.AddrPort {
@@ -193,8 +194,8 @@
 	return netip.AddrPortFrom(a.Addr().Unmap(), a.Port())
 }
 
-// Pause stops all that the node does for d, as if its process was stopped:
-// what arrives meanwhile waits, and is handled late.
+// Pause suspends all activity of the node for d, as if its process was
+// stopped: what arrives meanwhile is queued and handled late.
 func (n *Node) Pause(d time.Duration) { n.gate.closeFor(d) }
 
 // Counters returns all counts by name. Those of refusals and drops have the
@@ -204,7 +205,7 @@
 	return n.counters.snapshot()
 }
 
-// updateByteCounters takes over what the control links count.
+// updateByteCounters copies the byte counts of the control links.
 func (n *Node) updateByteCounters() {
 	n.counters.named(countControlSent).value.Store(n.mesh.BytesSent())
 	n.counters.named(countControlReceived).value.Store(n.mesh.BytesReceived())
@@ -232,7 +233,7 @@
 	}
 }
 
-// onMessage hands over what a peer says.
+// onMessage passes a peer's message to the fleet.
 func (n *Node) onMessage(from string, m *bronzelink.Message) {
 	n.gate.wait()
 	n.fleet.Handle(from, m)
@@ -244,8 +245,8 @@
 	n.fleet.LinkLost(name, err)
 }
 
-// trySendControl sends m to a peer. If that fails, the peer finds itself behind
-// again at a later heartbeat.
+// trySendControl sends m to a peer and counts a failure. If it fails, a later
+// heartbeat shows again which node is behind.
 func (n *Node) trySendControl(to bronzelink.Member, m *bronzelink.Message) {
 	if err := n.sendControl(to, m); err != nil {
 		n.counters.withReason(countControl, bronzefleet.CountSendFailed).add(1)
@@ -261,7 +262,7 @@
 	return n.mesh.Send(to, m)
 }
 
-// stopWith makes Run return err. Only the first call counts.
+// stopWith makes Run end and return err. Only the first call has an effect.
 func (n *Node) stopWith(err error) {
 	n.stopOnce.Do(func() {
 		n.runErr = err
@@ -269,7 +270,8 @@
 	})
 }
 
-// Kill ends the node abruptly: its sockets are closed, and nobody is told.
+// Kill ends the node abruptly: its sockets are closed and its peers aren't
+// notified.
 func (n *Node) Kill() {
 	n.killed.Store(true)
 	n.stopWith(nil)
@@ -277,8 +279,8 @@
 	n.gate.open()
 }
 
-// closeAddresses closes whatever is open. What was closed before says so,
-// which is of no interest.
+// closeAddresses closes all open sockets. Some may be closed already, so the
+// errors are ignored.
 func (n *Node) closeAddresses() {
 	if n.edge != nil {
 		_ = n.edge.Close()
--- a/bronzenode/partition.go
+++ b/bronzenode/partition.go
@@ -7,8 +7,8 @@
 	"sync"
 )
 
-// dial opens a control link to address. Where Cut loses it, the dial hangs
-// as in a network that drops packets.
+// dial opens a control link to address. If the two are partitioned, it blocks
+// until ctx is done, as in a network that drops packets.
 func (n *Node) dial(ctx context.Context, address string) (net.Conn, error) {
 	var d net.Dialer
 	if n.cfg.Partitioned == nil {
@@ -29,8 +29,8 @@
 	return &partitionedConn{Conn: conn, partitioned: n.cfg.Partitioned, from: n.ControlAddress(), to: to, closed: make(chan struct{})}, nil
 }
 
-// partitionedConn is a connection that goes silent for good once Cut loses it: what
-// is written vanishes, and nothing more is read.
+// partitionedConn is a connection that stays silent once a partition has
+// affected it: writes are discarded, and reads block until Close.
 type partitionedConn struct {
 	net.Conn
 	partitioned func(from, to netip.AddrPort) bool
@@ -42,7 +42,7 @@
 	silent bool
 }
 
-// Read returns nothing that arrives after the connection went silent.
+// Read returns no data that arrives after the connection went silent.
 func (c *partitionedConn) Read(b []byte) (n int, err error) {
 	n, err = c.Conn.Read(b)
 	if c.isPartitioned(c.to, c.from) {
@@ -52,7 +52,7 @@
 	return n, err
 }
 
-// Write takes b and loses it after the connection went silent.
+// Write discards b if the connection is silent.
 func (c *partitionedConn) Write(b []byte) (n int, err error) {
 	if c.isPartitioned(c.from, c.to) {
 		return len(b), nil
@@ -60,12 +60,14 @@
 	return c.Conn.Write(b)
 }
 
-// Close ends also a Read that waits in silence.
+// Close closes the connection and unblocks a Read that waits on a silent one.
 func (c *partitionedConn) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
 
+// isPartitioned reports whether the connection is silent; once true, it stays
+// so.
 func (c *partitionedConn) isPartitioned(from, to netip.AddrPort) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/bronzenode/run.go
+++ b/bronzenode/run.go
@@ -18,17 +18,18 @@
 
 const (
 	// readHeaderTimeout bounds how long an operator's connection may take to
-	// ask.
+	// send its request header.
 	readHeaderTimeout = 5 * time.Second
 	// vmListInterval is how often the list of VMs is read.
 	vmListInterval = 5 * time.Second
-	// missingInterval is how often the node looks whether records in force here
-	// lack their bodies.
+	// missingInterval is how often the node checks for records in force whose
+	// bodies are missing.
 	missingInterval = time.Second
 )
 
-// Run serves until ctx is done, Leave or Kill has ended it, or a part of it
-// failed, which is the error. It may be called once.
+// Run serves until ctx is done or Leave or Kill ends it, and then returns nil.
+// If a part of the node fails, Run ends and returns its error. It may be called
+// once.
 func (n *Node) Run(ctx context.Context) (err error) {
 	defer close(n.done)
 	defer annotate(&err, "run node "+n.cfg.Name)
@@ -46,14 +47,14 @@
 	return n.runErr
 }
 
-// runner holds the goroutines of a Node that runs. They end by their own
-// context and not by Run's, because a node that ends still says farewell.
+// runner holds the goroutines of a running Node. They have a context of their
+// own, not Run's, because an ending node still notifies its peers.
 type runner struct {
 	node   *Node
 	pool   pond.Pool
 	ctx    context.Context
 	cancel context.CancelFunc
-	// fleetStopped is closed when the fleet has told its peers.
+	// fleetStopped is closed when the fleet has notified its peers and ended.
 	fleetStopped chan struct{}
 	server       *http.Server
 }
@@ -106,7 +107,7 @@
 	})
 }
 
-// shutDown ends the parts in an order that lets the fleet say farewell.
+// shutDown stops the parts in an order that lets the fleet notify its peers.
 func (r *runner) shutDown() {
 	n := r.node
 	n.gate.open()
@@ -138,7 +139,8 @@
 	}
 }
 
-// runFleet runs the fleet and closes farewell at its end.
+// runFleet returns a function that runs the fleet and closes stopped at its
+// end.
 func (n *Node) runFleet(stopped chan struct{}) func(context.Context) error {
 	return func(ctx context.Context) error {
 		defer close(stopped)
@@ -157,7 +159,7 @@
 	return seeds
 }
 
-// readPlatform follows the platform while this node is one of those that do.
+// readPlatform reads the platform while readsPlatform selects this node.
 func (n *Node) readPlatform(ctx context.Context) error {
 	if n.cfg.Platform == "" {
 		return nil
@@ -176,8 +178,8 @@
 	return err
 }
 
-// readVMs hands the platform's list of VMs to the fleet. A node that is
-// joining needs it to find peers; afterwards the platform's readers do.
+// readVMs passes the platform's list of VMs to the fleet. A node that isn't
+// ready reads it to find peers; otherwise the nodes that read the platform do.
 func (n *Node) readVMs(ctx context.Context) error {
 	if n.cfg.Platform == "" {
 		return nil
@@ -200,7 +202,7 @@
 	n.fleet.SetVMs(vms)
 }
 
-// updateMetrics brings the metrics up to date.
+// updateMetrics publishes the counters and gauges.
 func (n *Node) updateMetrics() {
 	n.updateByteCounters()
 	n.counters.publish()
