--- a/bronzenode/counters.go
+++ b/bronzenode/counters.go
@@ -15,7 +15,7 @@
 	"bronzeusher.example/bronzeusher/bronzecore"
 )
 
-// event is something that the packet path counts without a reason.
+// event is a kind of packet path event that is counted without a reason.
 type event uint8
 
 const (
@@ -51,10 +51,10 @@
 	countPollFailed = "PollFailed"
 )
 
-// metricsInterval is how often counters are told to the metrics reporter.
+// metricsInterval is how often counters are published to the metrics reporter.
 const metricsInterval = time.Second
 
-// counter is one count, and what of it the metrics reporter has been told.
+// counter is one count, with the value last published to the metrics reporter.
 type counter struct {
 	value    atomic.Uint64
 	reported uint64
@@ -65,11 +65,11 @@
 	c.value.Add(n)
 }
 
-// counters holds all counts of a node. The count itself is an atomic number,
-// so that it costs the packet path little and can be read at any time; tally
-// is told the difference at intervals.
+// counters holds all counts of a node. Each count is an atomic number, cheap
+// for the packet path and readable at any time; tally gets the differences at
+// intervals.
 type counters struct {
-	// actions are those of the decisions, by kind and reason.
+	// actions are the counts of actions, by kind and reason.
 	actions [bronzecore.Send + 1][]*counter
 	events  [eventCount]*counter
 
@@ -109,7 +109,7 @@
 	return c
 }
 
-// initActions makes a counter for each reason of the actions that have one,
+// initActions creates a counter for each reason of the actions that have one,
 // so that a reason shows as 0 before it first occurs.
 func (c *counters) initActions() {
 	for kind := bronzecore.Forward; kind <= bronzecore.Send; kind++ {
@@ -124,7 +124,7 @@
 	}
 }
 
-// reasonsOf returns the reasons that actions of kind are told apart by.
+// reasonsOf returns the reasons by which actions of kind are counted.
 func reasonsOf(kind bronzecore.ActionKind) []bronzecore.Reason {
 	switch kind {
 	case bronzecore.Drop, bronzecore.Refuse, bronzecore.Abort, bronzecore.Cancel:
@@ -138,8 +138,8 @@
 	}
 }
 
-// reasonPrefix returns the name that reasons of kind are counted under. An
-// opening that is forwarded because another server failed is a retry.
+// reasonPrefix returns the counter name that precedes r for actions of kind.
+// An opening forwarded because another server failed counts as a retry.
 func reasonPrefix(kind bronzecore.ActionKind, r bronzecore.Reason) string {
 	if kind == bronzecore.Forward && (r == bronzecore.ServerRefused || r == bronzecore.ServerSilent) {
 		return countRetry
@@ -147,12 +147,13 @@
 	return kind.String()
 }
 
-// named returns the counter of that name, which is made at its first use.
+// named returns the counter called name, created on first use.
 func (c *counters) named(name string) *counter {
 	return c.get(name, func() tally.Counter { return c.scope.Counter(name) })
 }
 
-// withReason returns the counter of one withReason for what name says.
+// withReason returns the counter called name for one reason, created on first
+// use.
 func (c *counters) withReason(name, reason string) *counter {
 	return c.get(name+"."+reason, func() tally.Counter {
 		return c.scope.Tagged(map[string]string{"Reason": reason}).Counter(name + "Reasons")
@@ -170,13 +171,13 @@
 	return k
 }
 
-// reasonFunc returns a function that counts reasonFunc for what name says; it fits
-// the Count seams of other packages.
+// reasonFunc returns a function that counts reasons under name. It fits the
+// Count fields of other packages.
 func (c *counters) reasonFunc(name string) func(string) {
 	return func(reason string) { c.withReason(name, reason).add(1) }
 }
 
-// setGauge sets a gauge.
+// setGauge sets the gauge called name, created on first use.
 func (c *counters) setGauge(name string, value float64) {
 	c.mu.Lock()
 	g, ok := c.gauges[name]
@@ -188,7 +189,7 @@
 	g.Update(value)
 }
 
-// publish hands what was counted since the last call to tally.
+// publish adds what was counted since the last call to tally's counters.
 func (c *counters) publish() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -210,7 +211,7 @@
 	return all
 }
 
-// handler serves the counts in the Prometheus text form. They are at most
+// handler serves the counts in the Prometheus text format. They are at most
 // metricsInterval behind.
 func (c *counters) handler() http.Handler {
 	return c.reporter.HTTPHandler()
--- a/bronzenode/status.go
+++ b/bronzenode/status.go
@@ -10,7 +10,7 @@
 	"bronzeusher.example/bronzeusher/bronzelink"
 )
 
-// The paths of the HTTP address.
+// The paths that the HTTP address serves.
 const (
 	MetricsPath = "/metrics"
 	HealthPath  = "/healthz"
@@ -18,23 +18,23 @@
 	StatusPath  = "/Status"
 )
 
-// Status is what an operator sees of a node.
+// Status is the state of a node as operators see it.
 type Status struct {
 	Name             string
 	Fleet            string
 	Region           string
 	AvailabilityZone string
-	// Ready is what the fabric goes by.
+	// Ready is true if the fabric should send packets to the node.
 	Ready   bool
 	Leaving bool
-	// Fenced is true while the node checks its beliefs after a pause, Split
-	// while another part of the fleet may be cut off.
+	// Fenced is true while the node checks its state with its peers after a
+	// pause, Split while another part of the fleet may be partitioned off.
 	Fenced bool
 	Split  bool
-	// ReadsPlatform is true if the node is one of those that read it.
+	// ReadsPlatform is true if the node is one of those that read the platform.
 	ReadsPlatform bool
 	// Balancer has the configuration in force, the services with their
-	// backend servers, and what was refused of the records.
+	// backend servers, and the refused records.
 	Balancer bronzecore.Status
 	Peers    []Peer
 	Counters map[string]uint64
@@ -53,7 +53,7 @@
 	Version uint8
 }
 
-// Status returns the node's present state.
+// Status returns the node's current state.
 func (n *Node) Status() Status {
 	v := n.members.Load().view
 	return Status{
@@ -72,8 +72,8 @@
 	}
 }
 
-// Ready reports whether the fabric should hand packets to this node: it knows
-// its peers and a configuration, and is not leaving.
+// Ready reports whether the fabric should send packets to this node: it knows
+// its peers and a configuration, isn't fenced, and is not leaving.
 func (n *Node) Ready() bool {
 	v := n.members.Load().view
 	return v.Ready && !v.Fenced && n.Revision() > 0 && !n.leaving.Load()
@@ -108,7 +108,7 @@
 	return names[0]
 }
 
-// handler serves the HTTP address. All of it stands still during a Pause.
+// handler serves the HTTP address. During a Pause all requests wait.
 func (n *Node) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET "+MetricsPath, n.counters.handler())
@@ -144,7 +144,7 @@
 	return err
 }
 
-// setGauges brings the metrics that go up and down up to date.
+// setGauges updates the gauges.
 func (n *Node) setGauges() {
 	s := n.balancer.Status()
 	n.counters.setGauge("Flows", float64(s.Flows))
