--- a/bronzenode/rank.go
+++ b/bronzenode/rank.go
@@ -9,10 +9,10 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// isSelected reports whether self is among the first n of names in the rendezvous
-// order for key. Every node computes the same order from the same names, so
-// that a task falls to n nodes without an exchange; when a view is out of
-// date the task is done by a node too many, which costs a read and no more.
+// isSelected reports whether self is among the first n of names in the
+// rendezvous order for key. Every node computes the same order from the same
+// names, so tasks are assigned without coordination. With an outdated view one
+// node too many may do a task, which costs an extra read only.
 func isSelected(names []string, self string, key uint64, n int) bool {
 	own := rankScore(self, key)
 	before := 0
@@ -27,8 +27,8 @@
 	return before < n
 }
 
-// compareRank is negative if the node with the higher score, or the smaller
-// name among equals, comes first.
+// compareRank orders the node with the higher score first, and nodes with equal
+// scores by name.
 func compareRank(scoreA uint64, a string, scoreB uint64, b string) int {
 	if c := cmp.Compare(scoreB, scoreA); c != 0 {
 		return c
@@ -40,7 +40,7 @@
 	return bronzeflow.Mix(key, xxhash.Sum64String(name))
 }
 
-// sortedNames returns the names of m in order.
+// sortedNames returns the keys of m in order.
 func sortedNames[V any](m map[string]V) []string {
 	names := make([]string, 0, len(m))
 	for name := range m {
--- a/bronzenode/records.go
+++ b/bronzenode/records.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// platformReadersPerZone is how many nodes of a zone read the platform. The others
-	// get records from their peers, so that reads grow with the zones and
-	// not with the nodes.
+	// platformReadersPerZone is how many nodes of a zone read the platform. The
+	// others get records from their peers, so that reads grow with the number of
+	// zones and not of nodes.
 	platformReadersPerZone = 2
-	// maxRecordsBytes is how many bytes of bodies one message carries,
-	// unless a single body is longer.
+	// maxRecordsBytes bounds the bodies in one message, unless a single body
+	// is longer.
 	maxRecordsBytes = 256 << 10
 )
 
 // readsPlatform reports whether this node is one of those that read the
-// platform. A node that is joining doesn't: a platform that is behind would
-// hand it an old world that its peers have left.
+// platform. A joining node doesn't: a platform that is behind would give it a
+// configuration older than that of its peers.
 func (n *Node) readsPlatform() bool {
 	n.gate.wait()
 	v := n.members.Load().view
@@ -38,8 +38,8 @@
 	return isSelected(names, n.cfg.Name, xxhash.Sum64String(zone), platformReadersPerZone)
 }
 
-// onSnapshot puts a new configuration in force. The packet path knows its
-// tunnels before the decisions can name them.
+// onSnapshot puts a new configuration in force. The packet path gets the tunnel
+// endpoints before the decisions can choose their servers.
 func (n *Node) onSnapshot(s *bronzeconf.Snapshot) {
 	n.tunnels.Store(newTunnels(s))
 	n.balancer.SetSnapshot(s)
@@ -47,7 +47,7 @@
 	n.fleet.SetRevision(s.Revision)
 }
 
-// onBehind asks a peer for what it has in force and this node hasn't.
+// onBehind asks a peer for the records in force there that this node lacks.
 func (n *Node) onBehind(peer bronzelink.Member) {
 	request := &bronzelink.RecordsRequest{Revision: n.store.Revision()}
 	for _, v := range n.store.Have() {
@@ -56,8 +56,8 @@
 	n.trySendControl(peer, &bronzelink.Message{RecordsRequest: request})
 }
 
-// onRecordsRequest sends a peer what it lacks, in parts of a bounded length.
-// Each part is of use alone: it names all records, and has some bodies.
+// onRecordsRequest sends a peer the records that it lacks, in parts of bounded
+// length. Each part is useful alone: it lists all records and has some bodies.
 func (n *Node) onRecordsRequest(from string, r *bronzelink.RecordsRequest) {
 	peer, ok := n.members.Load().view.Members[from]
 	if !ok {
@@ -81,7 +81,8 @@
 	}
 }
 
-// splitBodies divides bodies into parts of about maxRecordsBytes, at least one.
+// splitBodies divides bodies into parts of about maxRecordsBytes, at least one
+// part.
 func splitBodies(bodies []bronzeconf.StoredRecord) [][]bronzelink.StoredRecord {
 	parts := [][]bronzelink.StoredRecord{nil}
 	size := 0
@@ -98,7 +99,7 @@
 	return parts
 }
 
-// onRecords takes in what a peer has in force.
+// onRecords applies the records that a peer has in force.
 func (n *Node) onRecords(from string, r *bronzelink.Records) {
 	present := make([]bronzeconf.RecordVersion, 0, len(r.Present))
 	for _, v := range r.Present {
@@ -115,15 +116,16 @@
 	n.missing.set(r.Revision, present)
 }
 
-// maxMissingRequests is how often a node asks for the bodies that it lacks of one
-// revision. More would be of no use where the peers lack them, too, because
-// the newest version of a record has faults.
+// maxMissingRequests bounds the requests for missing bodies of one revision.
+// More are useless if the peers lack the bodies too, because the newest version
+// of a record is invalid.
 const maxMissingRequests = 3
 
-// missingRecords remembers the records that a peer said are present, so that bodies
-// that didn't arrive can be asked for again. Without that, a link that broke
+// missingRecords remembers the records that a peer listed as present, so that
+// bodies that didn't arrive can be requested again. Otherwise a link that broke
 // between two parts of an answer would leave an old record in force: the
-// revision is that of the peers by then, and nobody finds this node behind.
+// revision already equals that of the peers, so no node would find this one
+// behind.
 type missingRecords struct {
 	mu       sync.Mutex
 	revision uint64
@@ -139,7 +141,8 @@
 	}
 }
 
-// shouldRequest reports whether there is something to ask for, and counts it as a try.
+// shouldRequest reports whether bodies are missing that may be requested, and
+// if so counts a request.
 func (l *missingRecords) shouldRequest(missing func([]bronzeconf.RecordVersion) []string) (ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/bronzenode/reports.go
+++ b/bronzenode/reports.go
@@ -17,29 +17,29 @@
 )
 
 const (
-	// pollersPerServer is how many nodes ask each backend server for its report: one
-	// would leave it unasked for seconds when that node dies.
+	// pollersPerServer is how many nodes poll each backend server. A single
+	// one would leave it without polls for seconds when that node dies.
 	pollersPerServer = 2
-	// pollsPerInterval bounds the reports that one node asks for in one
-	// interval. A poll costs about 250 bytes, so a node's polls take at most
-	// two fifths of its control budget however many servers there are. Those
-	// beyond it are asked in the next intervals; with up to 10 servers for each
-	// node a round takes two.
+	// pollsPerInterval bounds the polls that one node makes in one interval. A
+	// poll costs about 250 bytes, so a node's polls take at most two fifths of
+	// its control budget, however many servers there are. Servers beyond the
+	// bound are polled in the next intervals; with up to 10 servers for each
+	// node a round takes two intervals.
 	pollsPerInterval = 10
-	// maxConcurrentPolls bounds the reports that one node asks for at a time.
+	// maxConcurrentPolls bounds the polls that run at the same time.
 	maxConcurrentPolls = 32
-	// maxReportBytes is the longest report that is read, in bytes.
+	// maxReportBytes bounds how much of a report is read.
 	maxReportBytes = 4096
-	// leavingHold is for how long a server that said that it is leaving gets
-	// no new flows, unless it says so again: several polls, so that a lost one
-	// doesn't bring it back.
+	// leavingHold is how long a server that reported that it is leaving gets
+	// no new flows, unless it reports so again. It spans several polls, so that
+	// a lost one doesn't bring the server back.
 	leavingHold = 10 * time.Second
-	// maxFailedRounds is how many rounds of polls may fail before a server that is
-	// leaving is no longer passed on as such.
+	// maxFailedRounds is how many rounds of polls may fail before a leaving
+	// server is no longer reported to other nodes as leaving.
 	maxFailedRounds = 2
 )
 
-// The reasons for which a poll gave nothing.
+// The reasons why a poll failed.
 const (
 	pollRequest = "Request"
 	pollStatus  = "Status"
@@ -47,34 +47,34 @@
 	pollBusy    = "Busy"
 )
 
-// ServerReport is what a backend server's health and load endpoint answers,
-// as a JSON object. Further members are skipped.
+// ServerReport is the JSON object that a backend server's health and load
+// endpoint returns. Other members are ignored.
 type ServerReport struct {
-	// Connections is how many flows the server holds.
+	// Connections is how many flows the server holds, if it says so.
 	Connections *int
 	// Leaving is true when the server is to get no new flows.
 	Leaving bool
 }
 
-// reportPoller asks the backend servers that fall to this node for their reportPoller.
+// reportPoller polls the backend servers that are assigned to this node.
 type reportPoller struct {
 	node *Node
 	pool pond.Pool
 
 	mu sync.Mutex
-	// latest holds what the last polls said.
+	// latest holds the last reports.
 	latest map[bronzeflow.ServerID]latestReport
-	// inFlight are the servers whose answer is outstanding.
+	// inFlight holds the servers with an outstanding poll.
 	inFlight map[bronzeflow.ServerID]bool
-	// roundTime is how long it takes to ask all servers once.
+	// roundTime is how long it takes to poll all servers once.
 	roundTime time.Duration
 }
 
-// latestReport is a report with what it left out.
+// latestReport is a report and whether it includes the connections.
 type latestReport struct {
 	bronzepool.Report
-	// hasConnections is set if the server told its connections. Passed on as none,
-	// they would draw flows to a server that tells nothing.
+	// hasConnections is set if the server reported its connections. Shared as
+	// 0, missing connections would draw flows to the server.
 	hasConnections bool
 }
 
@@ -87,7 +87,7 @@
 	}
 }
 
-// maxQueuedPolls bounds the polls that wait; those beyond it are left out.
+// maxQueuedPolls bounds the polls that wait; those beyond it are skipped.
 const maxQueuedPolls = 4096
 
 // run polls at each interval until ctx is done.
@@ -97,7 +97,7 @@
 	return r.node.every(ctx, r.node.cfg.PollInterval, func() { r.pollDue(ctx, &due) })
 }
 
-// pollDue asks the servers that are next.
+// pollDue starts the polls of the next servers in turn.
 func (r *reportPoller) pollDue(ctx context.Context, due *dueServers) {
 	list := due.list(r.node)
 	r.setRoundTime(len(list))
@@ -107,14 +107,14 @@
 	}
 }
 
-// setRoundTime notes how long a round of n polls takes.
+// setRoundTime computes how long a round of n polls takes.
 func (r *reportPoller) setRoundTime(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.roundTime = time.Duration((n+pollsPerInterval-1)/pollsPerInterval) * r.node.cfg.PollInterval
 }
 
-// startPoll asks b, unless the last answer is still outstanding.
+// startPoll polls b in the background, unless its last poll is outstanding.
 func (r *reportPoller) startPoll(ctx context.Context, b *bronzeconf.BackendServer) {
 	r.mu.Lock()
 	busy := r.inFlight[b.ID]
@@ -140,8 +140,8 @@
 	delete(r.inFlight, id)
 }
 
-// poll asks b and takes its answer in. A server that doesn't answer keeps
-// its last report, which counts for less the older it is.
+// poll fetches the report of b and records it. A server that doesn't answer
+// keeps its last report, which counts less the older it is.
 func (r *reportPoller) poll(ctx context.Context, b *bronzeconf.BackendServer) {
 	ctx, cancel := context.WithTimeout(ctx, r.node.cfg.PollInterval)
 	defer cancel()
@@ -176,7 +176,8 @@
 	r.latest[id] = latest
 }
 
-// recent returns the reports that are young enough to be passed on.
+// recent returns the reports that are recent enough to be shared, and deletes
+// the others.
 func (r *reportPoller) recent() map[bronzeflow.ServerID]latestReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -192,9 +193,10 @@
 	return list
 }
 
-// sharedFor returns for how long a report is passed on. One that says that
-// its server is leaving is until the next one: dropped in between, it would be
-// news to all nodes twice a round, and such news goes out over the budget.
+// sharedFor returns how long a report is shared with other nodes. One that says
+// that its server is leaving is shared until the next one: dropped in between,
+// it would change the load twice a round, and such changes are sent to all
+// nodes even beyond the byte budget.
 func (r *reportPoller) sharedFor(leaving bool) time.Duration {
 	if leaving {
 		return leavingHold + maxFailedRounds*r.roundTime
@@ -202,9 +204,9 @@
 	return reportShareIntervals * r.node.cfg.PollInterval
 }
 
-// fetchReport asks the endpoint at url; reason tells what failed.
+// fetchReport gets the report from url; reason says what failed.
 func fetchReport(ctx context.Context, client *http.Client, url string) (report ServerReport, reason string, err error) {
-	defer annotate(&err, "ask for the report at "+url)
+	defer annotate(&err, "get report from "+url)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, http.NoBody)
 	if err != nil {
 		return report, pollRequest, err
@@ -230,17 +232,18 @@
 	return report, "", nil
 }
 
-// dueServers keeps which servers fall to a node, as long as neither the view
-// nor the snapshot changes: to find out costs a score for each pair of node
-// and server.
+// dueServers caches which servers a node polls until the view or the snapshot
+// changes, because computing them takes a score for each pair of node and
+// server.
 type dueServers struct {
 	members *members
 	tunnels *tunnels
 	servers []*bronzeconf.BackendServer
-	// last is the index of the server that was asked last.
+	// last is the index of the server that was polled last.
 	last int
 }
 
+// list returns the servers that n polls.
 func (d *dueServers) list(n *Node) []*bronzeconf.BackendServer {
 	m, t := n.members.Load(), n.tunnels.Load()
 	if d.members == m && d.tunnels == t {
--- a/bronzenode/shares.go
+++ b/bronzenode/shares.go
@@ -12,48 +12,49 @@
 )
 
 const (
-	// reportShareIntervals is for how many poll intervals a report is passed on.
+	// reportShareIntervals is for how many poll intervals a report is shared
+	// with other nodes.
 	reportShareIntervals = 2
-	// renewInterval is how often what the other nodes' loads say of servers that
-	// are leaving is put in force again.
+	// renewInterval is how often the leaving servers in the loads of other
+	// nodes are applied again.
 	renewInterval = leavingHold / 4
 )
 
-// sharedLoads tells the other nodes what this one owns and was reported, and takes
-// in what they tell. The zero sharedLoads is ready.
+// sharedLoads holds what the loads of other nodes say about servers. Its zero
+// value is ready.
 type sharedLoads struct {
 	mu sync.Mutex
-	// received is what each origin last passed on of each server.
+	// received is the last report of each server from each origin.
 	received map[string]map[bronzeflow.ServerID]receivedReport
-	// leaving are the servers that each origin's newest load names as such.
+	// leaving are the leaving servers in each origin's newest load.
 	leaving     map[string][]bronzeflow.ServerID
 	lastRenewal time.Time
 }
 
-// receivedReport is a report that another node passed on.
+// receivedReport is a report that another node shared.
 type receivedReport struct {
 	count uint32
 	at    time.Time
 }
 
-// share tells the fleet this node's load. The fleet sends the newest one as
+// share passes this node's load to the fleet, which sends the newest one as
 // often as its byte budget allows.
 func (n *Node) share() {
 	n.fleet.Share(n.load())
 	n.renewLeaving()
 }
 
-// renewLeaving holds the servers that the other nodes know to be leaving. A
-// load stands until its origin sends another, which in a large fleet takes
-// longer than any hold if nothing has changed; without this, servers that
-// leave for hours would get new flows in between.
+// renewLeaving holds the servers that other nodes report as leaving. A load is
+// valid until its origin sends another, which takes longer than leavingHold in
+// a large fleet if nothing has changed; without the renewal, servers that take
+// hours to leave would get new flows in between.
 func (n *Node) renewLeaving() {
 	for _, id := range n.sharedLoads.leavingToRenew(time.Now()) {
 		n.balancer.SetLeaving(id, leavingHold)
 	}
 }
 
-// load returns this node's present load.
+// load returns this node's current load.
 func (n *Node) load() (load bronzelink.Load) {
 	for id, count := range n.balancer.OwnedFlows() {
 		load.Owned = append(load.Owned, bronzelink.LoadItem{Server: id, Count: count})
@@ -61,8 +62,8 @@
 	shared := n.balancer.SharesCounts()
 	for id, report := range n.reports.recent() {
 		if !shared && !report.Leaving {
-			// News of servers that are leaving must not queue behind figures
-			// that arrive too late to be of use.
+			// Leaving servers must not queue behind counts that would
+			// arrive too late to be useful.
 			continue
 		}
 		if report.hasConnections {
@@ -80,7 +81,7 @@
 
 func compareItems(a, b bronzelink.LoadItem) int { return cmp.Compare(a.Server, b.Server) }
 
-// onLoad takes in what another node tells.
+// onLoad applies the load of another node.
 func (n *Node) onLoad(l *bronzelink.Load) {
 	counts := make(map[bronzeflow.ServerID]uint32, len(l.Owned))
 	for _, item := range l.Owned {
@@ -95,9 +96,9 @@
 	}
 }
 
-// freshReports returns the reports of l that its origin has not passed on before. One
-// report may come in several loads; taken for several, it would look as if a
-// server's figures stood still.
+// freshReports returns the reports of l that its origin has not shared before.
+// One report may come in several loads; taken as several, it would look as if
+// the server's connections didn't change.
 func (s *sharedLoads) freshReports(l *bronzelink.Load, interval time.Duration) (list []bronzepool.Report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,8 +127,8 @@
 	return list
 }
 
-// leavingToRenew returns the servers that the other nodes know to be leaving, if
-// it is time to put that in force again.
+// leavingToRenew returns the servers that other nodes report as leaving, if a
+// renewal is due.
 func (s *sharedLoads) leavingToRenew(now time.Time) (ids []bronzeflow.ServerID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,7 +142,7 @@
 	return ids
 }
 
-// forget drops what origin told.
+// forget deletes what origin shared.
 func (s *sharedLoads) forget(origin string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
