--- a/bronzewire/build.go
+++ b/bronzewire/build.go
@@ -27,8 +27,8 @@
 	maxPacketLen  = 65535
 )
 
-// builder holds the layers of one packet to build; a pool of them keeps a
-// storm of refusals from costing a buffer each.
+// builder holds the layers of one packet to build. Builders are pooled, so
+// that many refusals at once don't each allocate a buffer.
 type builder struct {
 	buf   gopacket.SerializeBuffer
 	ip4   layers.IPv4
@@ -45,8 +45,9 @@
 
 var serializeOptions = gopacket.SerializeOptions{FixLengths: true, ComputeChecksums: true}
 
-// BuildTCP appends to dst an IP packet with one TCP segment, checksums set.
-// The addresses are of one family, an IPv4-mapped one counting as IPv4.
+// BuildTCP appends to dst an IP packet with one TCP segment, with valid
+// checksums. The addresses must be of one family; an IPv4-mapped one counts as
+// IPv4.
 func BuildTCP(dst []byte, src, to netip.AddrPort, flags TCPFlags, seq, ack uint32, payload []byte) (b []byte, err error) {
 	defer annotate(&err, "build a TCP packet")
 	t := layers.TCP{
@@ -62,8 +63,9 @@
 	return appendTCP(dst, src, to, &t, payload)
 }
 
-// BuildUDP appends to dst an IP packet with one UDP datagram, checksums set.
-// The addresses are of one family, an IPv4-mapped one counting as IPv4.
+// BuildUDP appends to dst an IP packet with one UDP datagram, with valid
+// checksums. The addresses must be of one family; an IPv4-mapped one counts as
+// IPv4.
 func BuildUDP(dst []byte, src, to netip.AddrPort, payload []byte) (b []byte, err error) {
 	defer annotate(&err, "build a UDP packet")
 	w := builders.Get().(*builder)
@@ -76,7 +78,8 @@
 	return w.append(dst, ip, &w.udp, gopacket.Payload(payload))
 }
 
-// appendTCP appends a packet with t's fields, all but its ports and checksum.
+// appendTCP appends a packet with the fields of t, except its ports and
+// checksum.
 func appendTCP(dst []byte, src, to netip.AddrPort, t *layers.TCP, payload []byte) ([]byte, error) {
 	w := builders.Get().(*builder)
 	defer builders.Put(w)
@@ -90,11 +93,12 @@
 	return w.append(dst, ip, &w.tcp, gopacket.Payload(payload))
 }
 
-// maxTCPHeaderLen is the length of a TCP header with all options it can hold.
+// maxTCPHeaderLen is the length of a TCP header with all options it can hold,
+// in bytes.
 const maxTCPHeaderLen = 60
 
-// network prepares the IP header before n bytes of payload, and makes the
-// layers' checksums cover it.
+// network prepares the IP header for n bytes of payload, and includes it in the
+// checksums of the transport layers.
 func (w *builder) network(src, dst netip.Addr, next layers.IPProtocol, n int) (gopacket.SerializableLayer, error) {
 	src, dst = src.Unmap(), dst.Unmap()
 	if !src.IsValid() || !dst.IsValid() || src.Is4() != dst.Is4() {
@@ -112,7 +116,7 @@
 			SrcIP:    src.AsSlice(),
 			DstIP:    dst.AsSlice(),
 		}
-		return &w.ip4, w.cover(&w.ip4)
+		return &w.ip4, w.setChecksumLayer(&w.ip4)
 	}
 	w.ip6 = layers.IPv6{
 		Version:    6,
@@ -121,10 +125,11 @@
 		SrcIP:      src.AsSlice(),
 		DstIP:      dst.AsSlice(),
 	}
-	return &w.ip6, w.cover(&w.ip6)
+	return &w.ip6, w.setChecksumLayer(&w.ip6)
 }
 
-func (w *builder) cover(ip gopacket.NetworkLayer) error {
+// setChecksumLayer makes the checksums of the transport layers cover ip.
+func (w *builder) setChecksumLayer(ip gopacket.NetworkLayer) error {
 	if err := w.tcp.SetNetworkLayerForChecksum(ip); err != nil {
 		return err
 	}
@@ -141,7 +146,7 @@
 	return append(dst, w.buf.Bytes()...), nil
 }
 
-// annotate wraps *err, if any, with what was being done.
+// annotate wraps *err, if not nil, with a description of what failed.
 func annotate(err *error, doing string) {
 	if *err != nil {
 		*err = errors.Wrap(*err, doing)
--- a/bronzewire/doc.go
+++ b/bronzewire/doc.go
@@ -1,24 +1,24 @@
-// Package bronzewire is what a balancer knows of the wire: IP packets inside
-// UDP datagrams, and the frames that nodes relay to each other. Package
-// bronzesocket carries both.
+// Package bronzewire parses and builds what balancers send and receive: IP
+// packets inside UDP datagrams, and the frames that nodes relay to each other.
+// Package bronzesocket carries both.
 //
-// A Parser reads the headers of a packet, once, into a bronzeflow.Packet;
-// the decisions see nothing else of it. It refuses whatever it doesn't
-// understand in full, with one Err value for each reason, because a packet
-// that is read in another way by the balancer than by the backend server
-// could reach another Customer's service. Transport checksums are left to the
-// two ends of the flow, which verify them anyway.
+// A Parser reads the headers of a packet once into a bronzeflow.Packet, which
+// is all that the decisions see of it. It refuses whatever it doesn't fully
+// understand, with one Err value for each reason, because a packet that the
+// balancer and the backend server read differently could reach another
+// Customer's service. Transport checksums are left to the two ends of the flow,
+// which verify them anyway.
 //
-// Nothing is ever fragmented or put together again, so the operator sets the
-// MTU: a caller's packet must fit, with 28 bytes of IPv4 and UDP header or 48
-// of IPv6 around it, into the MTU towards backend servers, and with
-// FrameHeaderLen more into that between balancers. Backend servers announce a
-// maximum segment size to match. The counters of ErrFragment and ErrTooBig
-// show where that isn't so.
+// Nothing is fragmented or reassembled, so the operator must set the MTU: a
+// caller's packet, with 28 bytes of IPv4 and UDP headers or 48 of IPv6 and UDP
+// headers around it, must fit into the MTU towards backend servers, and with
+// FrameHeaderLen more bytes into that between balancers. Backend servers
+// announce a maximum segment size to match. The counters of ErrFragment and
+// ErrTooBig show where the MTU is wrong.
 //
 // Refusal, Cancellation and Probe build the only packets that a balancer
-// sends on its own account, each from a packet of the flow that it concerns.
-// All builders append to the slice that they are given.
+// originates, each from a packet of the flow that it concerns. All builders
+// append to the slice that they are given.
 //
 // # Usage
 //
--- a/bronzewire/errors.go
+++ b/bronzewire/errors.go
@@ -2,9 +2,9 @@
 
 import "github.com/pkg/errors"
 
-// The reasons for which a packet, a frame or a request to build one is
-// refused. The functions of this package return them bare where a flood of
-// bad packets must cost no allocation; compare with errors.Is.
+// The reasons why a packet, a frame or a request to build one is refused. The
+// functions of this package return them unwrapped where a flood of bad packets
+// must cause no allocation; compare with errors.Is.
 var (
 	// ErrTruncated: the buffer ends before what its headers announce.
 	ErrTruncated = errors.New("packet is truncated")
@@ -14,25 +14,25 @@
 	ErrHeader = errors.New("malformed header")
 	// ErrFragment: a fragment, whose ports may be in another packet.
 	ErrFragment = errors.New("packet is a fragment")
-	// ErrProtocol: not TCP, not UDP, and not one of the ICMP errors named below.
+	// ErrProtocol: not TCP, UDP or one of the ICMP errors named below.
 	ErrProtocol = errors.New("unsupported protocol")
 	// ErrChecksum: the IPv4 header's or the ICMP message's checksum is wrong.
 	ErrChecksum = errors.New("wrong checksum")
-	// ErrFlags: TCP flags that no sound sender combines in this direction.
+	// ErrFlags: TCP flags that no valid sender combines in this direction.
 	ErrFlags = errors.New("impossible TCP flags")
 	// ErrPorts: a source or destination port of 0.
 	ErrPorts = errors.New("port is zero")
-	// ErrAddress: an address that is no endpoint of a flow, or two addresses
-	// of different families.
+	// ErrAddress: an address that can't be an endpoint of a flow, or two
+	// addresses of different families.
 	ErrAddress = errors.New("unusable address")
-	// ErrQuote: an ICMP error for another receiver than the sender of the
-	// packet that it quotes.
+	// ErrQuote: an ICMP error whose receiver isn't the sender of the packet
+	// that it quotes.
 	ErrQuote = errors.New("quoted packet is not the receiver's")
-	// ErrUnreachable: an ICMP "unreachable" that ends no flow, from a caller's
-	// side or about a TCP connection that is past its opening.
+	// ErrUnreachable: an ICMP "unreachable" that ends no flow, because it comes
+	// from a caller's side or concerns a TCP connection past its opening.
 	ErrUnreachable = errors.New("unreachable ends no flow")
-	// ErrTooBig: an ICMP report that a packet was too big for its path. The
-	// MTU that hosts are configured with is too large there.
+	// ErrTooBig: an ICMP report that a packet was too big for its path. The MTU
+	// that hosts are configured with is too large for that path.
 	ErrTooBig = errors.New("packet too big for its path")
 	// ErrSize: a packet to build is longer than an IP packet can be.
 	ErrSize = errors.New("packet too long")
@@ -44,8 +44,8 @@
 	ErrFrameKind = errors.New("unknown relay frame kind")
 )
 
-// reasons orders the errors with their names as counters show them.
-var reasons = []struct {
+// reasonNames lists the errors with their names in counters.
+var reasonNames = []struct {
 	err  error
 	name string
 }{
@@ -67,16 +67,16 @@
 	{ErrFrameKind, "FrameKind"},
 }
 
-// Reason returns the name of err for a counter, in Pascal case: "Truncated"
-// for ErrTruncated and so on, "Other" for an error of other packages, and ""
-// for nil.
+// Reason returns the name of err for a counter, in Pascal case: "Truncated" for
+// ErrTruncated and so on, "Other" for an error of other packages, and "" for
+// nil.
 func Reason(err error) string {
 	if err == nil {
 		return ""
 	}
-	for i := range reasons {
-		if errors.Is(err, reasons[i].err) {
-			return reasons[i].name
+	for i := range reasonNames {
+		if errors.Is(err, reasonNames[i].err) {
+			return reasonNames[i].name
 		}
 	}
 	return "Other"
--- a/bronzewire/frame.go
+++ b/bronzewire/frame.go
@@ -19,37 +19,37 @@
 	FrameFlow
 )
 
-// The first bytes of a frame. The magic's high nibble is no IP version, so a
-// frame that reaches a socket for packets, or the reverse, is refused there
-// and never taken for a Customer's traffic.
+// The first bytes of a frame. The high nibble of frameMagic is no IP version,
+// so a frame that reaches a socket for packets, or the reverse, is refused
+// there and never taken for a Customer's traffic.
 const (
 	frameMagic   = 0xb5
 	frameVersion = 1
 )
 
-// FrameHeaderLen is how many bytes a Frame is longer than its Body, which
-// counts for the MTU between nodes.
+// FrameHeaderLen is the length of a frame without its Body, in bytes. It counts
+// towards the MTU between nodes.
 const FrameHeaderLen = 12
 
 // Frame is one datagram between two nodes.
 type Frame struct {
 	Kind FrameKind
-	// Hops counts the nodes that relayed the packet so far.
+	// Hops counts the nodes that have relayed the packet so far.
 	Hops   uint8
 	Server bronzeflow.ServerID
 	Body   []byte
 }
 
-// AppendFrame appends f in its form on the wire to dst.
+// AppendFrame appends the wire form of f to dst.
 func AppendFrame(dst []byte, f *Frame) []byte {
 	dst = append(dst, frameMagic, frameVersion, byte(f.Kind), f.Hops)
 	dst = binary.BigEndian.AppendUint64(dst, uint64(f.Server))
 	return append(dst, f.Body...)
 }
 
-// ParseFrame reads b into f, whose Body shares b's memory. It returns
-// ErrFrame, ErrFrameVersion or ErrFrameKind and leaves f alone when b is no
-// frame that this build understands.
+// ParseFrame reads b into f, whose Body shares b's memory. It returns ErrFrame,
+// ErrFrameVersion or ErrFrameKind and leaves f unchanged if b is not a frame
+// that this build understands.
 func ParseFrame(b []byte, f *Frame) error {
 	if len(b) < FrameHeaderLen || b[0] != frameMagic {
 		return ErrFrame
--- a/bronzewire/icmp.go
+++ b/bronzewire/icmp.go
@@ -12,24 +12,26 @@
 const (
 	icmp4HeaderLen = 8
 	icmp6HeaderLen = 8
-	// portsLen is as much of a quoted transport header as names the flow.
+	// portsLen is the length of the ports at the start of a quoted transport
+	// header, the part that identifies the flow.
 	portsLen       = 4
 	tcpFlagsOffset = 13
 )
 
-// parseICMP takes an "unreachable" from the server's side for a refusal of
-// the packet that it quotes, if that is a datagram or opens a connection.
+// parseICMP parses an "unreachable" from the server's side as a refusal of the
+// packet that it quotes, if that is a UDP datagram or a TCP opening.
 //
-// Past the opening it is refused: routers send it while a route changes, and
-// a connection must survive that (RFC 5461). Anyone who guesses its ports can
-// forge it, and taking it for the connection's end would break a live flow.
+// For any other TCP segment it returns ErrUnreachable: routers send these
+// errors while a route changes, and a connection must survive that (RFC 5461).
+// Anyone who guesses the ports can also forge one, and ending the connection
+// for it would break a live flow.
 func (r *Parser) parseICMP(d *datagram, p *bronzeflow.Packet, fromServer bool) error {
 	var quote datagram
 	var err error
 	if d.next == layers.IPProtocolICMPv4 {
-		err = r.quoted4(d, &quote)
+		err = r.parseQuote4(d, &quote)
 	} else {
-		err = r.quoted6(d, &quote)
+		err = r.parseQuote6(d, &quote)
 	}
 	if err != nil {
 		return err
@@ -46,7 +48,7 @@
 		return ErrProtocol
 	case len(quote.payload) < portsLen:
 		return ErrTruncated
-	case protocol == bronzeflow.TCP && !opens(quote.payload):
+	case protocol == bronzeflow.TCP && !isOpening(quote.payload):
 		return ErrUnreachable
 	}
 	src := binary.BigEndian.Uint16(quote.payload[0:2])
@@ -56,14 +58,14 @@
 	return setKey(&p.Key, protocol, &quote, src, dst, false)
 }
 
-// opens reports whether a quoted TCP header, which may be cut off, is seen to
-// be an opening's.
-func opens(header []byte) bool {
+// isOpening reports whether a quoted TCP header, which may be cut off, has the
+// SYN flag.
+func isOpening(header []byte) bool {
 	return len(header) > tcpFlagsOffset && TCPFlags(header[tcpFlagsOffset])&SYN != 0
 }
 
-// quoted4 decodes the packet that an "unreachable" in d quotes.
-func (r *Parser) quoted4(d, quote *datagram) error {
+// parseQuote4 decodes the packet that an IPv4 "unreachable" in d quotes.
+func (r *Parser) parseQuote4(d, quote *datagram) error {
 	if len(d.payload) < icmp4HeaderLen+ipv4HeaderLen {
 		return ErrTruncated
 	}
@@ -86,15 +88,15 @@
 	if r.quote4.FragOffset != 0 {
 		return ErrFragment
 	}
-	quote.src = mapped(r.quote4.SrcIP)
-	quote.dst = mapped(r.quote4.DstIP)
+	quote.src = mapIPv4(r.quote4.SrcIP)
+	quote.dst = mapIPv4(r.quote4.DstIP)
 	quote.next = r.quote4.Protocol
 	quote.payload = r.quote4.Payload
 	return nil
 }
 
-// quoted6 is quoted4 for IPv6.
-func (r *Parser) quoted6(d, quote *datagram) error {
+// parseQuote6 is parseQuote4 for IPv6.
+func (r *Parser) parseQuote6(d, quote *datagram) error {
 	if len(d.payload) < icmp6HeaderLen+ipv6HeaderLen {
 		return ErrTruncated
 	}
--- a/bronzewire/network.go
+++ b/bronzewire/network.go
@@ -9,10 +9,10 @@
 )
 
 // maxExtensions bounds the IPv6 extension headers that are skipped, so that a
-// packet made of them costs no more than an ordinary one.
+// packet full of them costs no more than an ordinary one.
 const maxExtensions = 4
 
-// The IPv4 options that send a packet elsewhere than to its destination.
+// The IPv4 options that route a packet through other hosts than its destination.
 const (
 	optionLooseRoute  = 131
 	optionStrictRoute = 137
@@ -65,8 +65,8 @@
 	if sourceRouted(r.ip4.Options) {
 		return ErrHeader
 	}
-	d.src = mapped(r.ip4.SrcIP)
-	d.dst = mapped(r.ip4.DstIP)
+	d.src = mapIPv4(r.ip4.SrcIP)
+	d.dst = mapIPv4(r.ip4.DstIP)
 	d.next = r.ip4.Protocol
 	d.raw = raw[:n]
 	d.payload = r.ip4.Payload
@@ -109,8 +109,8 @@
 	return protocolOfFamily(d.next, layers.IPProtocolICMPv4)
 }
 
-// skipExtensions walks over destination options to the transport header.
-// Routing headers are refused: the destination may not be the last one.
+// skipExtensions skips destination options up to the transport header. Routing
+// headers are refused: the destination may not be the final one.
 func (r *Parser) skipExtensions(next layers.IPProtocol, b []byte) (layers.IPProtocol, []byte, error) {
 	for range maxExtensions {
 		switch next {
@@ -130,8 +130,8 @@
 	return next, b, ErrHeader
 }
 
-// protocolOfFamily refuses the ICMP of the other address family, whose
-// quoted packet would be read in the wrong form.
+// protocolOfFamily refuses the ICMP of the other address family, whose quoted
+// packet would be parsed in the wrong form.
 func protocolOfFamily(next, other layers.IPProtocol) error {
 	if next == other {
 		return ErrProtocol
@@ -149,8 +149,8 @@
 	return false
 }
 
-// mapped returns the IPv4-mapped form of the 4 bytes ip.
-func mapped(ip []byte) (a [16]byte) {
+// mapIPv4 returns the IPv4-mapped form of the 4 bytes ip.
+func mapIPv4(ip []byte) (a [16]byte) {
 	a[10], a[11] = 0xff, 0xff
 	copy(a[12:], ip)
 	return a
--- a/bronzewire/parser.go
+++ b/bronzewire/parser.go
@@ -10,7 +10,7 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// The shortest headers, in bytes.
+// The minimum header lengths, in bytes.
 const (
 	ipv4HeaderLen = 20
 	ipv6HeaderLen = 40
@@ -18,9 +18,9 @@
 	udpHeaderLen  = 8
 )
 
-// Parser turns IP packets into bronzeflow.Packets. The zero value works. It
-// reuses its decoders, so a packet without rare options costs no allocation;
-// one goroutine at a time may use it, and it must not be copied after use.
+// Parser parses IP packets into bronzeflow.Packets. The zero value is ready to
+// use. It reuses its decoders, so a packet without rare options causes no
+// allocation. A Parser must not be used concurrently, nor copied after use.
 type Parser struct {
 	ip4    layers.IPv4
 	ip6    layers.IPv6
@@ -31,11 +31,11 @@
 	icmp6  layers.ICMPv6
 	quote4 layers.IPv4
 	quote6 layers.IPv6
-	// icmp is set when the last packet was an ICMP message.
+	// icmp is set if the last packet was an ICMP message.
 	icmp bool
 }
 
-// datagram is an IP packet without its network header.
+// datagram is an IP packet with its network header decoded.
 type datagram struct {
 	src, dst [16]byte
 	next     layers.IPProtocol
@@ -44,17 +44,17 @@
 }
 
 // FromCaller parses a packet on its way from a caller to a service, whose
-// address is the destination. On success p is overwritten whole, and p.Raw
-// shares raw's memory; on an error, one of this package's Err values, p is
-// the zero Packet.
+// address is the destination. On success p is overwritten entirely, and p.Raw
+// shares raw's memory; on an error, one of this package's Err values, p is the
+// zero Packet.
 func (r *Parser) FromCaller(raw []byte, p *bronzeflow.Packet) error {
 	return r.parse(raw, p, false)
 }
 
-// FromServer parses a packet on its way from a backend server to a caller:
-// the service's address is the source. An ICMP or ICMPv6 "unreachable" is the
-// refusal of the opening or the datagram that it quotes, whichever router sent
-// it. The contract is otherwise that of FromCaller.
+// FromServer parses a packet on its way from a backend server to a caller: the
+// service's address is the source. An ICMP or ICMPv6 "unreachable" is a refusal
+// of the opening or datagram that it quotes, whichever router sent it.
+// Otherwise the contract is that of FromCaller.
 func (r *Parser) FromServer(raw []byte, p *bronzeflow.Packet) error {
 	return r.parse(raw, p, true)
 }
@@ -116,7 +116,7 @@
 		return ErrTruncated
 	}
 	// gopacket takes a length of 0 for a jumbogram and clips one that is too
-	// long; both would count bytes that the receiver never gets.
+	// long; either would count bytes that the receiver never gets.
 	n := int(binary.BigEndian.Uint16(d.payload[4:6]))
 	if n < udpHeaderLen || n > len(d.payload) {
 		return ErrHeader
@@ -129,7 +129,8 @@
 	return setKey(&p.Key, bronzeflow.UDP, d, uint16(r.udp.SrcPort), uint16(r.udp.DstPort), fromServer)
 }
 
-// callerKind returns Invalid for flags that no caller's stack sends.
+// callerKind returns the kind of a caller's packet, or Invalid for flags that
+// no caller's stack sends.
 func callerKind(t *layers.TCP) bronzeflow.Kind {
 	switch {
 	case t.SYN && (t.ACK || t.FIN || t.RST), t.FIN && t.RST:
@@ -147,7 +148,8 @@
 	}
 }
 
-// serverKind returns Invalid for flags that no server's stack sends.
+// serverKind returns the kind of a server's packet, or Invalid for flags that
+// no server's stack sends.
 func serverKind(t *layers.TCP) bronzeflow.Kind {
 	switch {
 	case t.SYN && (!t.ACK || t.FIN || t.RST), t.FIN && t.RST:
@@ -192,7 +194,7 @@
 	return nil
 }
 
-// isEndpoint reports whether a flow can end at a.
+// isEndpoint reports whether a can be an endpoint of a flow.
 func isEndpoint(a *[16]byte) bool {
 	addr := netip.AddrFrom16(*a).Unmap()
 	return !addr.IsUnspecified() && !addr.IsMulticast() && addr != broadcast
--- a/bronzewire/parser_test.go
+++ b/bronzewire/parser_test.go
@@ -283,9 +283,9 @@
 
 // unreachable returns the ICMP error that a host answers to raw.
 func unreachable(t require.TestingT, raw []byte) []byte {
-	var a answerer
-	require.NoError(t, a.parser.FromCaller(raw, &a.packet))
-	b, err := a.appendUnreachable(nil)
+	var r responder
+	require.NoError(t, r.parser.FromCaller(raw, &r.packet))
+	b, err := r.appendUnreachable(nil)
 	require.NoError(t, err)
 	return b
 }
