--- a/bronzewire/answer_test.go
+++ b/bronzewire/answer_test.go
@@ -10,10 +10,10 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// A caller is refused before any server had its packet. It must see what a
-// closed port answers at once (RFC 9293, section 3.10.7.1), because a reset
-// with other numbers is ignored and the caller waits for its own timeout.
-func TestRefusalOfTCP(t *testing.T) {
+// A caller that is refused must get what a closed port answers (RFC 9293,
+// section 3.10.7.1). It would ignore a reset with other numbers and wait for its
+// own timeout.
+func TestRefusalTCP(t *testing.T) {
 	tests := []struct {
 		flags         TCPFlags
 		payload       string
@@ -25,9 +25,9 @@
 		{ACK | PSH, "data", false, 2000, 0},
 		{FIN | ACK, "data", false, 2000, 0},
 	}
-	for _, e := range []ends{ends4, ends6} {
+	for _, e := range []endpoints{endpoints4, endpoints6} {
 		for _, test := range tests {
-			raw, err := Refusal([]byte("kept"), e.tcp(t, false, test.flags, test.payload))
+			raw, err := Refusal([]byte("kept"), e.segment(t, false, test.flags, test.payload))
 			require.NoError(t, err)
 			require.Equal(t, "kept", string(raw[:4]))
 			got := decodeTCP(t, raw[4:])
@@ -39,14 +39,14 @@
 			require.Equal(t, bronzeflow.Refuse, p.Kind)
 			require.Equal(t, e.key(bronzeflow.TCP), p.Key)
 		}
-		raw, err := Refusal(nil, e.tcp(t, false, RST, ""))
+		raw, err := Refusal(nil, e.segment(t, false, RST, ""))
 		require.NoError(t, err)
 		require.Nil(t, raw)
 	}
 }
 
-// An attempt to open was given up: its server, which may have accepted it
-// already, must drop the connection and run nothing. A server takes a reset
+// When an attempt to open is given up, its server, which may have accepted
+// already, must drop the connection and run nothing. A server accepts a reset
 // only with the sequence number that it expects next.
 func TestCancellation(t *testing.T) {
 	tests := []struct {
@@ -60,9 +60,9 @@
 		{"Accept", true, SYN | ACK, 2000},
 		{"Answer", true, ACK, 2000},
 	}
-	for _, e := range []ends{ends4, ends6} {
+	for _, e := range []endpoints{endpoints4, endpoints6} {
 		for _, test := range tests {
-			raw, err := Cancellation(nil, e.tcp(t, test.fromServer, test.flags, ""), test.fromServer)
+			raw, err := Cancellation(nil, e.segment(t, test.fromServer, test.flags, ""), test.fromServer)
 			require.NoError(t, err, test.name)
 			got := decodeTCP(t, raw)
 			require.Equal(t, test.seq, got.Seq, test.name)
@@ -70,21 +70,21 @@
 			require.Equal(t, bronzeflow.Reset, p.Kind, test.name)
 			require.Equal(t, e.key(bronzeflow.TCP), p.Key, test.name)
 		}
-		raw, err := Cancellation(nil, e.udp(t, nil), false)
+		raw, err := Cancellation(nil, e.datagram(t, nil), false)
 		require.NoError(t, err)
 		require.Nil(t, raw)
-		raw, err = Cancellation(nil, e.tcp(t, true, RST, ""), true)
+		raw, err = Cancellation(nil, e.segment(t, true, RST, ""), true)
 		require.NoError(t, err)
 		require.Nil(t, raw)
 	}
 }
 
-// A flow's owner died and took the placement along. Its successor asks the
-// candidates with probes. A probe must hold nothing that a server could run,
-// and must carry the timestamps, or a server that has the connection drops it
-// in silence and the flow is lost though its server lives.
+// If a flow's owner died and its placement is lost, the next owner probes the
+// candidate servers. A probe must hold nothing that a server could run. It must
+// carry the timestamps option, or a server that has the connection silently
+// drops it, and the flow is lost though its server lives.
 func TestProbe(t *testing.T) {
-	for _, e := range []ends{ends4, ends6} {
+	for _, e := range []endpoints{endpoints4, endpoints6} {
 		stamp := layers.TCPOption{OptionType: layers.TCPOptionKindTimestamps, OptionLength: 10, OptionData: []byte("12345678")}
 		nop := layers.TCPOption{OptionType: layers.TCPOptionKindNop, OptionLength: 1}
 		sack := layers.TCPOption{OptionType: layers.TCPOptionKindSACK, OptionLength: 10, OptionData: []byte("87654321")}
@@ -101,17 +101,17 @@
 		p := new(Parser).mustParse(t, probe, false)
 		require.Equal(t, bronzeflow.Data, p.Kind)
 		require.Equal(t, e.key(bronzeflow.TCP), p.Key)
-		_, err = Probe(nil, e.tcp(t, false, SYN, ""))
+		_, err = Probe(nil, e.segment(t, false, SYN, ""))
 		require.ErrorIs(t, err, ErrFlags)
-		_, err = Probe(nil, e.udp(t, nil))
+		_, err = Probe(nil, e.datagram(t, nil))
 		require.ErrorIs(t, err, ErrProtocol)
 	}
 }
 
-func TestBuildRefuses(t *testing.T) {
-	_, err := BuildTCP(nil, ends4.caller, ends6.service, SYN, 0, 0, nil)
+func TestBuildErrors(t *testing.T) {
+	_, err := BuildTCP(nil, endpoints4.caller, endpoints6.service, SYN, 0, 0, nil)
 	require.ErrorIs(t, err, ErrAddress)
-	_, err = BuildUDP(nil, ends4.caller, ends4.service, make([]byte, maxPacketLen))
+	_, err = BuildUDP(nil, endpoints4.caller, endpoints4.service, make([]byte, maxPacketLen))
 	require.ErrorIs(t, err, ErrSize)
 	require.Equal(t, "Size", Reason(err))
 	require.Empty(t, Reason(nil))
--- a/bronzewire/bench_test.go
+++ b/bronzewire/bench_test.go
@@ -9,8 +9,9 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// stamped returns a caller's segment with the options of an ordinary stack.
-func stamped(t testing.TB, e ends) []byte {
+// segmentWithTimestamp returns a caller's segment with the options of an
+// ordinary TCP stack.
+func segmentWithTimestamp(t testing.TB, e endpoints) []byte {
 	nop := layers.TCPOption{OptionType: layers.TCPOptionKindNop, OptionLength: 1}
 	stamp := layers.TCPOption{OptionType: layers.TCPOptionKindTimestamps, OptionLength: 10, OptionData: []byte("12345678")}
 	data := layers.TCP{ACK: true, Options: []layers.TCPOption{nop, nop, stamp}}
@@ -19,31 +20,31 @@
 	return raw
 }
 
-type input struct {
+type parserInput struct {
 	name string
 	raw  []byte
 }
 
-func inputs(t testing.TB) []input {
-	return []input{
-		{"TCP4", stamped(t, ends4)},
-		{"TCP6", stamped(t, ends6)},
-		{"UDP4", ends4.udp(t, make([]byte, 1200))},
-		{"UDP6", ends6.udp(t, make([]byte, 1200))},
-		{"Truncated", ends4.udp(t, make([]byte, 1200))[:40]},
+func parserInputs(t testing.TB) []parserInput {
+	return []parserInput{
+		{"TCP4", segmentWithTimestamp(t, endpoints4)},
+		{"TCP6", segmentWithTimestamp(t, endpoints6)},
+		{"UDP4", endpoints4.datagram(t, make([]byte, 1200))},
+		{"UDP6", endpoints6.datagram(t, make([]byte, 1200))},
+		{"Truncated", endpoints4.datagram(t, make([]byte, 1200))[:40]},
 	}
 }
 
-func TestParseAllocatesNothing(t *testing.T) {
+func TestParseAllocs(t *testing.T) {
 	var r Parser
 	var p bronzeflow.Packet
-	for _, in := range inputs(t) {
+	for _, in := range parserInputs(t) {
 		require.Zero(t, testing.AllocsPerRun(100, func() { _ = r.FromCaller(in.raw, &p) }), in.name)
 	}
 }
 
 func BenchmarkParse(b *testing.B) {
-	for _, in := range inputs(b) {
+	for _, in := range parserInputs(b) {
 		b.Run(in.name, func(b *testing.B) {
 			b.ReportAllocs()
 			var r Parser
@@ -56,7 +57,7 @@
 }
 
 func BenchmarkRefusal(b *testing.B) {
-	for _, in := range inputs(b)[:4] {
+	for _, in := range parserInputs(b)[:4] {
 		b.Run(in.name, func(b *testing.B) {
 			b.ReportAllocs()
 			var dst []byte
--- a/bronzewire/example_test.go
+++ b/bronzewire/example_test.go
@@ -22,7 +22,7 @@
 	fmt.Println(r.FromCaller(raw, &p), p.Kind, p.Key.ServiceAddrPort())
 	fmt.Println(bronzewire.Reason(r.FromCaller(raw[:30], &p)))
 
-	// The service has no room: the caller is told at once.
+	// The service has no room: the caller is refused at once.
 	refusal, err := bronzewire.Refusal(nil, raw)
 	fmt.Println(err, r.FromServer(refusal, &p), p.Kind, p.Key.CallerAddrPort())
 	// Output:
--- a/bronzewire/frame_test.go
+++ b/bronzewire/frame_test.go
@@ -27,9 +27,9 @@
 	})
 }
 
-// During a rollout a newer node may send what this build doesn't know, and
-// the fabric may send to the wrong port. Each is refused under its own name.
-func TestParseFrameRefuses(t *testing.T) {
+// During a rollout a newer node may send what this build doesn't know, and the
+// fabric may send to the wrong port. Each is refused with its own error.
+func TestParseFrameErrors(t *testing.T) {
 	b := AppendFrame(nil, &Frame{Kind: FrameFlow})
 	for i, err := range []error{ErrFrame, ErrFrameVersion, ErrFrameKind} {
 		bad := append([]byte(nil), b...)
@@ -39,5 +39,5 @@
 		require.Equal(t, Frame{Hops: 7}, f)
 	}
 	require.ErrorIs(t, ParseFrame(b[:FrameHeaderLen-1], new(Frame)), ErrFrame)
-	require.ErrorIs(t, ParseFrame(ends4.udp(t, nil), new(Frame)), ErrFrame)
+	require.ErrorIs(t, ParseFrame(endpoints4.datagram(t, nil), new(Frame)), ErrFrame)
 }
--- a/bronzewire/fuzz_test.go
+++ b/bronzewire/fuzz_test.go
@@ -14,19 +14,19 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// FuzzParse holds for any bytes, in both directions: a packet that is taken
-// has whole headers, the key of its own addresses as another library reads
-// them, and a kind of its direction; what is refused has a named reason; what
-// is built from it is sound in its turn; and raw stays as it was.
+// FuzzParse checks for any bytes, in both directions, that an accepted packet
+// has whole headers, the key of its own addresses as another library reads them,
+// and a kind of its direction; that a refused one has a named reason; that what
+// is built from a packet is valid itself; and that raw is unchanged.
 func FuzzParse(f *testing.F) {
-	for _, e := range []ends{ends4, ends6} {
+	for _, e := range []endpoints{endpoints4, endpoints6} {
 		for _, flags := range []TCPFlags{SYN, SYN | ACK, ACK, FIN | ACK, RST} {
-			f.Add(e.tcp(f, false, flags, ""), false)
-			f.Add(e.tcp(f, true, flags, "payload"), true)
+			f.Add(e.segment(f, false, flags, ""), false)
+			f.Add(e.segment(f, true, flags, "payload"), true)
 		}
-		datagram := e.udp(f, []byte("payload"))
+		datagram := e.datagram(f, []byte("payload"))
 		f.Add(datagram, true)
-		for _, quoted := range [][]byte{datagram, e.tcp(f, false, SYN, "")} {
+		for _, quoted := range [][]byte{datagram, e.segment(f, false, SYN, "")} {
 			f.Add(unreachable(f, quoted), false)
 			f.Add(unreachable(f, quoted), true)
 		}
@@ -45,13 +45,13 @@
 				continue
 			}
 			checkPacket(t, raw, &p, fromServer, r.icmp)
-			checkAnswers(t, raw, fromServer)
+			checkBuilt(t, raw, fromServer)
 		}
 		require.Equal(t, before, raw)
 	})
 }
 
-// fixChecksums lets the mutated bytes get past the checksums.
+// fixChecksums makes the checksums of mutated bytes valid.
 func fixChecksums(raw []byte) []byte {
 	raw = bytes.Clone(raw)
 	switch {
@@ -104,7 +104,7 @@
 	require.True(t, icmp || h.Src.String() == src.String())
 }
 
-func checkAnswers(t *testing.T, raw []byte, fromServer bool) {
+func checkBuilt(t *testing.T, raw []byte, fromServer bool) {
 	var r Parser
 	if b, err := Cancellation(nil, raw, fromServer); err == nil && b != nil {
 		require.Equal(t, bronzeflow.Reset, r.mustParse(t, b, false).Kind)
@@ -122,10 +122,11 @@
 	}
 }
 
-// FuzzFrame holds for any bytes: what is taken is written back the same.
+// FuzzFrame checks that any frame that is parsed is encoded back to the same
+// bytes.
 func FuzzFrame(f *testing.F) {
-	f.Add(AppendFrame(nil, &Frame{Kind: FramePacket, Hops: 1, Body: ends4.udp(f, nil)}))
-	f.Add(AppendFrame(nil, &Frame{Kind: FrameReply, Server: 7, Body: ends6.tcp(f, true, SYN|ACK, "")}))
+	f.Add(AppendFrame(nil, &Frame{Kind: FramePacket, Hops: 1, Body: endpoints4.datagram(f, nil)}))
+	f.Add(AppendFrame(nil, &Frame{Kind: FrameReply, Server: 7, Body: endpoints6.segment(f, true, SYN|ACK, "")}))
 	f.Add(AppendFrame(nil, &Frame{Kind: FrameFlow}))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		var frame Frame
--- a/bronzewire/parser_test.go
+++ b/bronzewire/parser_test.go
@@ -14,22 +14,22 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// ends are the endpoints of one flow.
-type ends struct {
+// endpoints are the two ends of one flow.
+type endpoints struct {
 	caller, service netip.AddrPort
 }
 
 var (
-	ends4 = ends{netip.MustParseAddrPort("198.51.100.7:40000"), netip.MustParseAddrPort("192.0.2.10:443")}
-	ends6 = ends{netip.MustParseAddrPort("[2001:db8:1::7]:40000"), netip.MustParseAddrPort("[2001:db8:2::10]:443")}
+	endpoints4 = endpoints{netip.MustParseAddrPort("198.51.100.7:40000"), netip.MustParseAddrPort("192.0.2.10:443")}
+	endpoints6 = endpoints{netip.MustParseAddrPort("[2001:db8:1::7]:40000"), netip.MustParseAddrPort("[2001:db8:2::10]:443")}
 )
 
-func (e ends) key(p bronzeflow.Protocol) bronzeflow.Key {
+func (e endpoints) key(p bronzeflow.Protocol) bronzeflow.Key {
 	return bronzeflow.NewKey(p, e.caller, e.service)
 }
 
-// tcp returns a segment from the caller, or from the server.
-func (e ends) tcp(t require.TestingT, fromServer bool, flags TCPFlags, payload string) []byte {
+// segment returns a TCP segment from the caller, or from the server.
+func (e endpoints) segment(t require.TestingT, fromServer bool, flags TCPFlags, payload string) []byte {
 	src, to := e.caller, e.service
 	if fromServer {
 		src, to = to, src
@@ -39,7 +39,7 @@
 	return raw
 }
 
-func (e ends) udp(t require.TestingT, payload []byte) []byte {
+func (e endpoints) datagram(t require.TestingT, payload []byte) []byte {
 	raw, err := BuildUDP(nil, e.caller, e.service, payload)
 	require.NoError(t, err)
 	return raw
@@ -61,8 +61,8 @@
 	icmp6 layers.ICMPv6
 }
 
-// decode reads raw with gopacket's chain of decoders and checks every
-// checksum. What is above the transport header is payload, whatever its port.
+// decode decodes raw with gopacket's chain of decoders and verifies every
+// checksum. What follows the transport header is payload, whatever its port.
 func decode(t require.TestingT, raw []byte) *decoded {
 	var d decoded
 	first, ip := layers.LayerTypeIPv4, gopacket.NetworkLayer(&d.ip4)
@@ -102,7 +102,7 @@
 	return &d.tcp
 }
 
-func drawEnds(t *rapid.T) ends {
+func drawEndpoints(t *rapid.T) endpoints {
 	prefix := []byte{198, 51}
 	length := 4
 	if rapid.Bool().Draw(t, "IPv6") {
@@ -114,11 +114,11 @@
 		a, _ := netip.AddrFromSlice(b)
 		return netip.AddrPortFrom(a, rapid.Uint16Min(1).Draw(t, name+"Port"))
 	}
-	return ends{draw("Caller"), draw("Service")}
+	return endpoints{draw("Caller"), draw("Service")}
 }
 
-// naiveKind is the table of flags of the two directions, row by row.
-func naiveKind(flags TCPFlags, fromServer bool) bronzeflow.Kind {
+// referenceKind returns the kind for flags from a table for each direction.
+func referenceKind(flags TCPFlags, fromServer bool) bronzeflow.Kind {
 	caller := map[TCPFlags]bronzeflow.Kind{
 		SYN: bronzeflow.Open, RST: bronzeflow.Reset, RST | ACK: bronzeflow.Reset,
 		ACK: bronzeflow.Data, FIN | ACK: bronzeflow.Close,
@@ -136,7 +136,7 @@
 func TestTCPRoundTrip(t *testing.T) {
 	var r Parser
 	rapid.Check(t, func(t *rapid.T) {
-		e := drawEnds(t)
+		e := drawEndpoints(t)
 		fromServer := rapid.Bool().Draw(t, "fromServer")
 		flags := TCPFlags(rapid.IntRange(0, 31).Draw(t, "flags"))
 		seq, ack := rapid.Uint32().Draw(t, "seq"), rapid.Uint32().Draw(t, "ack")
@@ -148,11 +148,11 @@
 		raw, err := BuildTCP(nil, src, to, flags, seq, ack, payload)
 		require.NoError(t, err)
 		decode(t, raw)
-		// Padding of a lower layer behind the packet belongs to nobody.
+		// Padding that a lower layer adds after the packet must be ignored.
 		padded := slices.Concat(raw, make([]byte, rapid.IntRange(0, 9).Draw(t, "padding")))
 		var p bronzeflow.Packet
 		err = r.parse(padded, &p, fromServer)
-		kind := naiveKind(flags, fromServer)
+		kind := referenceKind(flags, fromServer)
 		if kind == bronzeflow.Invalid {
 			require.ErrorIs(t, err, ErrFlags)
 			require.Zero(t, p)
@@ -175,13 +175,13 @@
 func TestUDPRoundTrip(t *testing.T) {
 	var r Parser
 	rapid.Check(t, func(t *rapid.T) {
-		e := drawEnds(t)
+		e := drawEndpoints(t)
 		payload := rapid.SliceOfN(rapid.Byte(), 0, 2000).Draw(t, "payload")
-		raw := e.udp(t, payload)
+		raw := e.datagram(t, payload)
 		decode(t, raw)
 		want := bronzeflow.Packet{Key: e.key(bronzeflow.UDP), Kind: bronzeflow.Datagram, Payload: len(payload), Raw: raw}
 		require.Equal(t, want, r.mustParse(t, raw, false))
-		// The server's answer to a refused datagram names the same flow.
+		// The refusal of the datagram has the key of the same flow.
 		refusal, err := Refusal(nil, raw)
 		require.NoError(t, err)
 		decode(t, refusal)
@@ -190,14 +190,14 @@
 	})
 }
 
-// fixChecksum makes up for a change in raw's IPv4 header.
+// fixChecksum makes the checksum of raw's IPv4 header valid after a change.
 func fixChecksum(raw []byte) {
 	clear(raw[10:12])
 	sum := gopacket.FoldChecksum(gopacket.ComputeChecksum(raw[:int(raw[0]&15)*4], 0))
 	binary.BigEndian.PutUint16(raw[10:], sum)
 }
 
-func TestParserRefuses(t *testing.T) {
+func TestParserErrors(t *testing.T) {
 	set := func(i int, bs ...byte) func([]byte) []byte {
 		return func(raw []byte) []byte {
 			copy(raw[i:], bs)
@@ -229,41 +229,41 @@
 		}
 	}
 	tests := []struct {
-		name   string
-		ends   ends
-		change func([]byte) []byte
-		err    error
+		name      string
+		endpoints endpoints
+		change    func([]byte) []byte
+		err       error
 	}{
-		{"Empty", ends4, cut(0), ErrTruncated},
-		{"ShortHeader", ends4, cut(19), ErrTruncated},
-		{"ShortPacket", ends4, cut(43), ErrTruncated},
-		{"ShortHeader6", ends6, cut(39), ErrTruncated},
-		{"ShortPacket6", ends6, cut(63), ErrTruncated},
-		{"NoRoomForTCP", ends4, set(3, 39), ErrTruncated},
-		{"Version", ends4, set(0, 0x55), ErrVersion},
-		{"LengthZero", ends4, set(2, 0, 0), ErrHeader},
-		{"HeaderLength", ends4, set(0, 0x44), ErrHeader},
-		{"Jumbogram", ends6, set(4, 0, 0), ErrHeader},
-		{"DataOffsetSmall", ends4, set(32, 0x40), ErrHeader},
-		{"DataOffsetLarge", ends4, set(32, 0xf0), ErrHeader},
-		{"MoreFragments", ends4, set(6, 0x20), ErrFragment},
-		{"FragmentOffset", ends4, set(6, 0, 1), ErrFragment},
-		{"Fragment6", ends6, extension(44, 6, 0, 0, 0, 0, 0, 0, 0), ErrFragment},
-		{"Routing6", ends6, extension(43, 6, 0, 0, 0, 0, 0, 0, 0), ErrHeader},
-		{"GRE", ends4, set(9, 47), ErrProtocol},
-		{"ICMPv6InIPv4", ends4, set(9, 58), ErrProtocol},
-		{"PortZero", ends4, set(22, 0, 0), ErrPorts},
-		{"Multicast", ends4, set(16, 224), ErrAddress},
-		{"Broadcast", ends4, set(12, 255, 255, 255, 255), ErrAddress},
-		{"Mapped", ends6, set(24, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0xff, 0xff), ErrAddress},
-		{"UDPLength", ends4, udpLength(200), ErrHeader},
-		{"UDPLengthZero", ends4, udpLength(0), ErrHeader},
-		{"LooseRoute", ends4, option(optionLooseRoute), ErrHeader},
-		{"StrictRoute", ends4, option(optionStrictRoute), ErrHeader},
+		{"Empty", endpoints4, cut(0), ErrTruncated},
+		{"ShortHeader", endpoints4, cut(19), ErrTruncated},
+		{"ShortPacket", endpoints4, cut(43), ErrTruncated},
+		{"ShortHeader6", endpoints6, cut(39), ErrTruncated},
+		{"ShortPacket6", endpoints6, cut(63), ErrTruncated},
+		{"NoRoomForTCP", endpoints4, set(3, 39), ErrTruncated},
+		{"Version", endpoints4, set(0, 0x55), ErrVersion},
+		{"LengthZero", endpoints4, set(2, 0, 0), ErrHeader},
+		{"HeaderLength", endpoints4, set(0, 0x44), ErrHeader},
+		{"Jumbogram", endpoints6, set(4, 0, 0), ErrHeader},
+		{"DataOffsetSmall", endpoints4, set(32, 0x40), ErrHeader},
+		{"DataOffsetLarge", endpoints4, set(32, 0xf0), ErrHeader},
+		{"MoreFragments", endpoints4, set(6, 0x20), ErrFragment},
+		{"FragmentOffset", endpoints4, set(6, 0, 1), ErrFragment},
+		{"Fragment6", endpoints6, extension(44, 6, 0, 0, 0, 0, 0, 0, 0), ErrFragment},
+		{"Routing6", endpoints6, extension(43, 6, 0, 0, 0, 0, 0, 0, 0), ErrHeader},
+		{"GRE", endpoints4, set(9, 47), ErrProtocol},
+		{"ICMPv6InIPv4", endpoints4, set(9, 58), ErrProtocol},
+		{"PortZero", endpoints4, set(22, 0, 0), ErrPorts},
+		{"Multicast", endpoints4, set(16, 224), ErrAddress},
+		{"Broadcast", endpoints4, set(12, 255, 255, 255, 255), ErrAddress},
+		{"Mapped", endpoints6, set(24, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0xff, 0xff), ErrAddress},
+		{"UDPLength", endpoints4, udpLength(200), ErrHeader},
+		{"UDPLengthZero", endpoints4, udpLength(0), ErrHeader},
+		{"LooseRoute", endpoints4, option(optionLooseRoute), ErrHeader},
+		{"StrictRoute", endpoints4, option(optionStrictRoute), ErrHeader},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			raw := test.change(test.ends.tcp(t, false, ACK, "data"))
+			raw := test.change(test.endpoints.segment(t, false, ACK, "data"))
 			if len(raw) >= ipv4HeaderLen && raw[0]>>4 == 4 {
 				fixChecksum(raw)
 			}
@@ -274,14 +274,14 @@
 			require.NotContains(t, []string{"", "Other"}, Reason(test.err))
 		})
 	}
-	raw := ends4.tcp(t, false, ACK, "data")
+	raw := endpoints4.segment(t, false, ACK, "data")
 	raw[8]--
 	require.ErrorIs(t, new(Parser).FromCaller(raw, new(bronzeflow.Packet)), ErrChecksum)
-	destination := extension(60, 6, 0, 1, 4, 0, 0, 0, 0)(ends6.tcp(t, false, ACK, "data"))
+	destination := extension(60, 6, 0, 1, 4, 0, 0, 0, 0)(endpoints6.segment(t, false, ACK, "data"))
 	require.Equal(t, 4, new(Parser).mustParse(t, destination, false).Payload)
 }
 
-// unreachable returns the ICMP error that a host answers to raw.
+// unreachable returns the ICMP error that a host sends in answer to raw.
 func unreachable(t require.TestingT, raw []byte) []byte {
 	var r responder
 	require.NoError(t, r.parser.FromCaller(raw, &r.packet))
@@ -290,56 +290,56 @@
 	return b
 }
 
-// A route to a server flaps, or somebody forges its error. The caller of an
-// established connection must notice nothing, so the error is not taken for a
-// refusal; an opening that it answers is refused and may go elsewhere. One
-// that was damaged, or is for another receiver, does nothing.
+// The error of a flapping route, or a forged one, must not end an established
+// connection, so it is not taken for a refusal. An opening that it concerns is
+// refused and may be placed elsewhere. An error that is damaged, or meant for
+// another receiver, has no effect.
 func TestUnreachable(t *testing.T) {
 	var r Parser
 	var p bronzeflow.Packet
-	for _, e := range []ends{ends4, ends6} {
-		raw := unreachable(t, e.tcp(t, false, SYN, ""))
+	for _, e := range []endpoints{endpoints4, endpoints6} {
+		raw := unreachable(t, e.segment(t, false, SYN, ""))
 		want := bronzeflow.Packet{Key: e.key(bronzeflow.TCP), Kind: bronzeflow.Refuse, Raw: raw}
 		require.Equal(t, want, r.mustParse(t, raw, true))
 		require.ErrorIs(t, r.FromCaller(raw, &p), ErrUnreachable)
 		raw[len(raw)-1]++
 		require.ErrorIs(t, r.FromServer(raw, &p), ErrChecksum)
-		raw = unreachable(t, e.tcp(t, false, ACK, "data"))
+		raw = unreachable(t, e.segment(t, false, ACK, "data"))
 		require.ErrorIs(t, r.FromServer(raw, &p), ErrUnreachable)
 	}
 	changes := []struct {
-		ends  ends
-		index int
-		value byte
-		err   error
+		endpoints endpoints
+		index     int
+		value     byte
+		err       error
 	}{
-		{ends4, 19, 1, ErrQuote},                                        // the receiver
-		{ends4, ipv4HeaderLen + icmp4HeaderLen, 0x65, ErrHeader},        // the quote's version
-		{ends4, ipv4HeaderLen + icmp4HeaderLen + 7, 1, ErrFragment},     // its offset
-		{ends4, ipv4HeaderLen + icmp4HeaderLen + 9, 47, ErrProtocol},    // its protocol
-		{ends4, ipv4HeaderLen, layers.ICMPv4TypeEchoReply, ErrProtocol}, // the type
-		{ends6, ipv6HeaderLen, layers.ICMPv6TypeEchoReply, ErrProtocol}, // the type
-		{ends6, ipv6HeaderLen + icmp6HeaderLen + 6, 44, ErrFragment},    // the quote's next header
-		{ends6, ipv6HeaderLen + icmp6HeaderLen, 0x45, ErrHeader},        // its version
+		{endpoints4, 19, 1, ErrQuote},                                        // the receiver
+		{endpoints4, ipv4HeaderLen + icmp4HeaderLen, 0x65, ErrHeader},        // the quote's version
+		{endpoints4, ipv4HeaderLen + icmp4HeaderLen + 7, 1, ErrFragment},     // its offset
+		{endpoints4, ipv4HeaderLen + icmp4HeaderLen + 9, 47, ErrProtocol},    // its protocol
+		{endpoints4, ipv4HeaderLen, layers.ICMPv4TypeEchoReply, ErrProtocol}, // the type
+		{endpoints6, ipv6HeaderLen, layers.ICMPv6TypeEchoReply, ErrProtocol}, // the type
+		{endpoints6, ipv6HeaderLen + icmp6HeaderLen + 6, 44, ErrFragment},    // the quote's next header
+		{endpoints6, ipv6HeaderLen + icmp6HeaderLen, 0x45, ErrHeader},        // its version
 	}
 	for _, c := range changes {
-		raw := unreachable(t, c.ends.tcp(t, false, SYN, ""))
+		raw := unreachable(t, c.endpoints.segment(t, false, SYN, ""))
 		raw[c.index] = c.value
 		require.ErrorIs(t, r.FromServer(fixChecksums(raw), &p), c.err, c.index)
 	}
-	raw := unreachable(t, ends6.tcp(t, false, SYN, ""))
+	raw := unreachable(t, endpoints6.segment(t, false, SYN, ""))
 	mappedTo := raw[ipv6HeaderLen+icmp6HeaderLen+24:]
 	copy(mappedTo, []byte{0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0xff, 0xff})
 	require.ErrorIs(t, r.FromServer(fixChecksums(raw), &p), ErrAddress)
 }
 
-// A packet of an established flow is too large for a link on its way. The
-// router's report is no refusal, so no flow may end by it; the operator sees
-// it counted under its own name.
+// A router's report that a packet of an established flow is too large for a link
+// is not a refusal, so it must not end the flow. It is counted under its own
+// name for the operator.
 func TestTooBig(t *testing.T) {
-	for _, e := range []ends{ends4, ends6} {
-		raw := unreachable(t, e.udp(t, make([]byte, 1200)))
-		if e == ends4 {
+	for _, e := range []endpoints{endpoints4, endpoints6} {
+		raw := unreachable(t, e.datagram(t, make([]byte, 1200)))
+		if e == endpoints4 {
 			raw[ipv4HeaderLen+1] = layers.ICMPv4CodeFragmentationNeeded
 		} else {
 			raw[ipv6HeaderLen], raw[ipv6HeaderLen+1] = layers.ICMPv6TypePacketTooBig, 0
