--- a/bronzenode/config_test.go
+++ b/bronzenode/config_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func goodConfig() Config {
+func validConfig() Config {
 	return Config{
 		Name: "a", Fleet: "test", AvailabilityZone: "riga-a",
 		EdgeAddress: loopback, DataAddress: loopback, ControlAddress: loopback, HTTPAddress: loopback,
@@ -17,10 +17,10 @@
 	}
 }
 
-func TestCheckNamesTheField(t *testing.T) {
-	cfg := goodConfig()
+func TestConfigCheck(t *testing.T) {
+	cfg := validConfig()
 	require.NoError(t, cfg.Check())
-	faults := map[string]func(*Config){
+	mutations := map[string]func(*Config){
 		"Name":             func(c *Config) { c.Name = "" },
 		"Fleet":            func(c *Config) { c.Fleet = "" },
 		"AvailabilityZone": func(c *Config) { c.AvailabilityZone = "" },
@@ -38,20 +38,20 @@
 		"Capacity":         func(c *Config) { c.Capacity = -1 },
 		"LeaveLimit":       func(c *Config) { c.LeaveLimit = -time.Second },
 	}
-	for field, spoil := range faults {
+	for field, mutate := range mutations {
 		t.Run(field, func(t *testing.T) {
-			cfg := goodConfig()
-			spoil(&cfg)
-			var fault *FieldError
-			require.ErrorAs(t, cfg.Check(), &fault)
-			require.Equal(t, field, fault.Field)
-			require.NotEmpty(t, fault.Reason)
+			cfg := validConfig()
+			mutate(&cfg)
+			var fieldErr *FieldError
+			require.ErrorAs(t, cfg.Check(), &fieldErr)
+			require.Equal(t, field, fieldErr.Field)
+			require.NotEmpty(t, fieldErr.Reason)
 		})
 	}
 }
 
 func TestPlainExcludesCertificates(t *testing.T) {
-	cfg := goodConfig()
+	cfg := validConfig()
 	cfg.Certificate = "node.pem"
 	require.ErrorContains(t, cfg.Check(), "Plain")
 }
--- a/bronzenode/forward_bench_test.go
+++ b/bronzenode/forward_bench_test.go
@@ -23,22 +23,22 @@
 	benchSenders = 4
 	benchBatch   = 32
 	benchRounds  = 4
-	// benchWindow is how many packets may be on their way at once: few enough
-	// for the kernel's buffers, so that what is measured is not loss.
+	// benchWindow bounds the packets in flight. It is small enough for the
+	// kernel's buffers, so that the benchmark doesn't measure loss.
 	benchWindow = 512
-	// benchStall is how long nothing may arrive before what is on its way is
-	// held lost.
-	benchStall = 50 * time.Millisecond
+	// benchStallTimeout is how long nothing may arrive before the packets in
+	// flight count as lost.
+	benchStallTimeout = 50 * time.Millisecond
 )
 
-// sinks count the packets that reach the backend servers.
-type sinks struct {
+// serverSinks counts the packets that reach the backend servers.
+type serverSinks struct {
 	addresses []netip.AddrPort
 	received  atomic.Int64
 }
 
-func newSinks(b *testing.B) *sinks {
-	s := &sinks{}
+func newServerSinks(b *testing.B) *serverSinks {
+	s := &serverSinks{}
 	for range benchServers {
 		socket, err := bronzesocket.Listen(loopback.String())
 		require.NoError(b, err)
@@ -49,7 +49,7 @@
 	return s
 }
 
-func (s *sinks) read(socket *bronzesocket.Socket) {
+func (s *serverSinks) read(socket *bronzesocket.Socket) {
 	batch := newBatch()
 	for {
 		n, err := socket.ReadBatch(batch)
@@ -68,14 +68,14 @@
 	return batch
 }
 
-// sender sends packets of established flows to one forwarder.
-type sender struct {
+// packetSender sends packets of established flows to one forwarder.
+type packetSender struct {
 	socket  *bronzesocket.Socket
 	packets [][]byte
 	next    int
 }
 
-func (s *sender) send(b *testing.B, to netip.AddrPort, n int) {
+func (s *packetSender) send(b *testing.B, to netip.AddrPort, n int) {
 	batch := make([]bronzesocket.Datagram, n)
 	for i := range batch {
 		p := s.packets[s.next%len(s.packets)]
@@ -87,24 +87,24 @@
 	}
 }
 
-// load sends packets with a bounded number on their way, and returns how many
-// arrived in a second.
-type load struct {
+// loadGenerator sends packets with a bounded number in flight.
+type loadGenerator struct {
 	b       *testing.B
-	sinks   *sinks
-	senders []*sender
+	sinks   *serverSinks
+	senders []*packetSender
 	lost    int64
 }
 
-func (l *load) run(to netip.AddrPort, packets int) (perSecond float64) {
+// run sends packets to an address and returns how many arrived per second.
+func (l *loadGenerator) run(to netip.AddrPort, packets int) (perSecond float64) {
 	share := max(packets/len(l.senders), benchBatch)
 	window := int64(benchWindow / len(l.senders) * len(l.senders))
 	var sent, lost atomic.Int64
 	base := l.sinks.received.Load()
-	began := time.Now()
-	var work sync.WaitGroup
+	start := time.Now()
+	var wg sync.WaitGroup
 	for _, s := range l.senders {
-		work.Go(func() {
+		wg.Go(func() {
 			for done := 0; done < share; done += benchBatch {
 				s.send(l.b, to, benchBatch)
 				sent.Add(benchBatch)
@@ -112,40 +112,41 @@
 			}
 		})
 	}
-	work.Wait()
+	wg.Wait()
 	l.wait(base, 0, &sent, &lost)
 	arrived := l.sinks.received.Load() - base
 	l.lost += sent.Load() - arrived
-	return float64(arrived) / time.Since(began).Seconds()
+	return float64(arrived) / time.Since(start).Seconds()
 }
 
-// wait returns once at most window packets are on their way.
-func (l *load) wait(base, window int64, sent, lost *atomic.Int64) {
+// wait returns once at most window packets are in flight.
+func (l *loadGenerator) wait(base, window int64, sent, lost *atomic.Int64) {
 	last, since := int64(-1), time.Now()
 	for {
 		arrived := l.sinks.received.Load() - base
-		flying := sent.Load() - arrived - lost.Load()
-		if flying <= window {
+		inFlight := sent.Load() - arrived - lost.Load()
+		if inFlight <= window {
 			return
 		}
 		if arrived != last {
 			last, since = arrived, time.Now()
-		} else if time.Since(since) > benchStall {
-			lost.Add(flying)
+		} else if time.Since(since) > benchStallTimeout {
+			lost.Add(inFlight)
 			return
 		}
 		runtime.Gosched()
 	}
 }
 
-// naive forwards with one map under one mutex, one packet a system call.
-type naive struct {
+// naiveForwarder forwards with one map under one mutex, one packet per system
+// call.
+type naiveForwarder struct {
 	conn    *net.UDPConn
 	mu      sync.Mutex
 	servers map[bronzeflow.Key]netip.AddrPort
 }
 
-func (f *naive) serve() {
+func (f *naiveForwarder) serve() {
 	var parser bronzewire.Parser
 	var p bronzeflow.Packet
 	buf := make([]byte, maxPacketBytes)
@@ -166,9 +167,9 @@
 	}
 }
 
-// establish opens flows in the decisions of n, and returns a packet of each
-// with the naive version's map of the same flows.
-func establish(b *testing.B, n *Node) (packets [][]byte, servers map[bronzeflow.Key]netip.AddrPort) {
+// establishFlows opens flows in the Balancer of n. It returns a packet of each,
+// and the map of the same flows for the naive forwarder.
+func establishFlows(b *testing.B, n *Node) (packets [][]byte, servers map[bronzeflow.Key]netip.AddrPort) {
 	servers = make(map[bronzeflow.Key]netip.AddrPort)
 	var parser bronzewire.Parser
 	for i := range benchFlows {
@@ -190,32 +191,32 @@
 }
 
 // BenchmarkForward forwards packets of established flows through the whole
-// process, from socket to socket, and the same through a naive version with
-// as many goroutines. The two take turns within one run; ratio is how many
-// times more packets a second the node forwards.
+// process, from socket to socket, and the same through a naive forwarder with
+// as many goroutines. The two alternate within one run; ratio is how many times
+// more packets a second the node forwards.
 func BenchmarkForward(b *testing.B) {
-	s := newSinks(b)
-	w := newWorld(b, 0)
-	w.tunnels = s.addresses
-	w.heartbeat = 0
-	n := w.start("a")
-	packets, servers := establish(b, n)
+	s := newServerSinks(b)
+	env := newTestEnv(b, 0)
+	env.tunnels = s.addresses
+	env.heartbeat = 0
+	n := env.start("a")
+	packets, servers := establishFlows(b, n)
 
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(loopback))
 	require.NoError(b, err)
 	b.Cleanup(func() { _ = conn.Close() })
 	require.NoError(b, conn.SetReadBuffer(4<<20))
-	simple := &naive{conn: conn, servers: servers}
+	simple := &naiveForwarder{conn: conn, servers: servers}
 	for range n.cfg.Readers {
 		go simple.serve()
 	}
 
-	l := &load{b: b, sinks: s}
+	l := &loadGenerator{b: b, sinks: s}
 	for i := range benchSenders {
 		socket, err := bronzesocket.Listen(loopback.String())
 		require.NoError(b, err)
 		b.Cleanup(func() { _ = socket.Close() })
-		l.senders = append(l.senders, &sender{socket: socket, packets: packets, next: i * benchFlows / benchSenders})
+		l.senders = append(l.senders, &packetSender{socket: socket, packets: packets, next: i * benchFlows / benchSenders})
 	}
 	var node, plain float64
 	b.ResetTimer()
--- a/bronzenode/harness_test.go
+++ b/bronzenode/harness_test.go
@@ -23,10 +23,10 @@
 	"bronzeusher.example/bronzeusher/bronzewire"
 )
 
-// retransmit is when a packet that had no effect is sent again. The network
-// may lose it, and a node may not know yet what it needs; how often that
-// happens decides nothing.
-const retransmit = 50 * time.Millisecond
+// retransmitInterval is after what time a packet that had no effect is sent
+// again. The network may lose it, and a node may not yet know what it needs;
+// no test depends on how often that happens.
+const retransmitInterval = 50 * time.Millisecond
 
 var (
 	loopback = netip.MustParseAddrPort("127.0.0.1:0")
@@ -41,9 +41,9 @@
 	packet bronzeflow.Packet
 }
 
-// world is what surrounds the nodes of a test: a platform with one service,
-// the tunnel endpoints of its servers, and the fabric.
-type world struct {
+// testEnv is the environment of the nodes under test: a platform with one
+// service, the tunnel endpoints of its servers, and the fabric.
+type testEnv struct {
 	t        testing.TB
 	platform *httptest.Server
 	fabric   *net.UDPConn
@@ -51,34 +51,34 @@
 	// tunnels are the servers' tunnel endpoints.
 	tunnels  []netip.AddrPort
 	arrivals chan arrival
-	// pinned is the only server that may get packets from now on, if not -1.
+	// pinned is the only server that may get payload from now on, unless -1.
 	pinned int
-	// heartbeat is the nodes', 0 means the default.
+	// heartbeat is the nodes' heartbeat interval, 0 selects the default.
 	heartbeat time.Duration
-	// change, if set, changes the settings of the nodes.
-	change func(*Config)
+	// configure, if set, changes the settings of the nodes.
+	configure func(*Config)
 	// refuse makes the servers refuse all openings.
 	refuse bool
 }
 
-func newWorld(t testing.TB, servers int) *world {
-	w := &world{t: t, arrivals: make(chan arrival, 1024), pinned: -1, heartbeat: 100 * time.Millisecond}
-	w.fabric = w.listen(-1)
+func newTestEnv(t testing.TB, servers int) *testEnv {
+	env := &testEnv{t: t, arrivals: make(chan arrival, 1024), pinned: -1, heartbeat: 100 * time.Millisecond}
+	env.fabric = env.listen(-1)
 	for i := range servers {
-		conn := w.listen(i)
-		w.servers = append(w.servers, conn)
-		w.tunnels = append(w.tunnels, conn.LocalAddr().(*net.UDPAddr).AddrPort())
+		conn := env.listen(i)
+		env.servers = append(env.servers, conn)
+		env.tunnels = append(env.tunnels, conn.LocalAddr().(*net.UDPAddr).AddrPort())
 	}
-	w.platform = httptest.NewServer(http.HandlerFunc(w.servePlatform))
-	t.Cleanup(w.platform.Close)
-	return w
+	env.platform = httptest.NewServer(http.HandlerFunc(env.servePlatform))
+	t.Cleanup(env.platform.Close)
+	return env
 }
 
-// listen opens a socket, and hands over what arrives there.
-func (w *world) listen(server int) *net.UDPConn {
+// listen opens a socket, and passes on the packets that arrive there.
+func (env *testEnv) listen(server int) *net.UDPConn {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(loopback))
-	require.NoError(w.t, err)
-	w.t.Cleanup(func() { _ = conn.Close() })
+	require.NoError(env.t, err)
+	env.t.Cleanup(func() { _ = conn.Close() })
 	go func() {
 		var parser bronzewire.Parser
 		for {
@@ -94,21 +94,21 @@
 				err = parser.FromCaller(buf[:n], &a.packet)
 			}
 			if err == nil {
-				w.arrivals <- a
+				env.arrivals <- a
 			}
 		}
 	}()
 	return conn
 }
 
-// record is the service's record.
-func (w *world) record() bronzeconf.ServiceV2 {
+// record returns the service's record.
+func (env *testEnv) record() bronzeconf.ServiceV2 {
 	v := bronzeconf.NewServiceV2()
 	v.Customer, v.Brand, v.Name = "agency", "maps", "map-live"
 	v.Addresses = []netip.Addr{service.Addr()}
 	v.Rules = []bronzeconf.RuleV1{{Protocol: "TCP", Port: service.Port()}}
 	v.Retry.Budget = 1
-	for i, address := range w.tunnels {
+	for i, address := range env.tunnels {
 		v.Pool = append(v.Pool, bronzeconf.BackendServerV1{
 			Instance:         fmt.Sprintf("map-%d", i),
 			Address:          address,
@@ -118,7 +118,7 @@
 	return v
 }
 
-func (w *world) servePlatform(rw http.ResponseWriter, r *http.Request) {
+func (env *testEnv) servePlatform(rw http.ResponseWriter, r *http.Request) {
 	var value any
 	switch {
 	case r.URL.Path == "/VMs":
@@ -130,47 +130,47 @@
 	case strings.HasSuffix(r.URL.Path, bronzeconf.IndexName):
 		value = bronzeconf.Index{Revision: 1, Records: []bronzeconf.RecordVersion{{Name: "map-live", Revision: 1}}}
 	default:
-		value = w.record()
+		value = env.record()
 	}
 	rw.Header().Set(bronzeconf.RevisionHeader, "1")
 	_ = json.NewEncoder(rw).Encode(value)
 }
 
-func quietLog() *logrus.Logger {
+func discardLog() *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
-// start starts a node that joins the others, and returns once it is ready
-// and all know each other.
-func (w *world) start(name string, others ...*Node) *Node {
+// start starts a node that joins the others, and returns once it is ready and
+// all know each other.
+func (env *testEnv) start(name string, others ...*Node) *Node {
 	cfg := Config{
 		Name: name, Fleet: "test", AvailabilityZone: "riga-a",
 		EdgeAddress: loopback, DataAddress: loopback, ControlAddress: loopback, HTTPAddress: loopback,
-		FabricAddress: w.fabric.LocalAddr().(*net.UDPAddr).AddrPort(),
+		FabricAddress: env.fabric.LocalAddr().(*net.UDPAddr).AddrPort(),
 		Plain:         true,
-		Heartbeat:     w.heartbeat,
+		Heartbeat:     env.heartbeat,
 		LeaveQuiet:    time.Millisecond,
-		Log:           quietLog(),
+		Log:           discardLog(),
 	}
 	if len(others) == 0 {
-		cfg.Platform = w.platform.URL
+		cfg.Platform = env.platform.URL
 		cfg.JoinWait = time.Millisecond
 	}
 	for _, o := range others {
 		cfg.Peers = append(cfg.Peers, o.ControlAddress().String())
 	}
-	if w.change != nil {
-		w.change(&cfg)
+	if env.configure != nil {
+		env.configure(&cfg)
 	}
 	n, err := New(cfg)
-	require.NoError(w.t, err)
+	require.NoError(env.t, err)
 	ended := make(chan error, 1)
 	go func() { ended <- n.Run(context.Background()) }()
-	w.t.Cleanup(func() {
+	env.t.Cleanup(func() {
 		n.Kill()
-		require.NoError(w.t, <-ended)
+		require.NoError(env.t, <-ended)
 	})
 	all := append([]*Node{n}, others...)
 	for _, o := range all {
@@ -179,14 +179,14 @@
 	return n
 }
 
-// await returns once ok does.
+// await returns once ok returns true.
 func await(ok func() bool) {
 	for !ok() {
 		runtime.Gosched()
 	}
 }
 
-// segment is a TCP segment of the test's one flow.
+// segment is a TCP segment of the test's only flow.
 type segment struct {
 	flags    bronzewire.TCPFlags
 	seq, ack uint32
@@ -199,36 +199,36 @@
 )
 
 var (
-	opening = segment{flags: bronzewire.SYN, seq: callerSeq}
-	accept  = segment{flags: bronzewire.SYN | bronzewire.ACK, seq: serverSeq, ack: callerSeq + 1}
-	refusal = segment{flags: bronzewire.RST | bronzewire.ACK, ack: callerSeq + 1}
-	request = segment{flags: bronzewire.ACK | bronzewire.PSH, seq: callerSeq + 1, ack: serverSeq + 1, payload: "outline"}
-	answer1 = segment{flags: bronzewire.ACK | bronzewire.PSH, seq: serverSeq + 1, ack: callerSeq + 8, payload: "saved"}
+	opening  = segment{flags: bronzewire.SYN, seq: callerSeq}
+	accept   = segment{flags: bronzewire.SYN | bronzewire.ACK, seq: serverSeq, ack: callerSeq + 1}
+	refusal  = segment{flags: bronzewire.RST | bronzewire.ACK, ack: callerSeq + 1}
+	request  = segment{flags: bronzewire.ACK | bronzewire.PSH, seq: callerSeq + 1, ack: serverSeq + 1, payload: "outline"}
+	response = segment{flags: bronzewire.ACK | bronzewire.PSH, seq: serverSeq + 1, ack: callerSeq + 8, payload: "saved"}
 )
 
-// call sends a segment of the caller to a node.
-func (w *world) call(n *Node, s segment) {
+// sendFromCaller sends a segment of the caller to a node.
+func (env *testEnv) sendFromCaller(n *Node, s segment) {
 	raw, err := bronzewire.BuildTCP(nil, caller, service, s.flags, s.seq, s.ack, []byte(s.payload))
-	require.NoError(w.t, err)
-	_, err = w.fabric.WriteToUDPAddrPort(raw, n.EdgeAddress())
-	require.NoError(w.t, err)
+	require.NoError(env.t, err)
+	_, err = env.fabric.WriteToUDPAddrPort(raw, n.EdgeAddress())
+	require.NoError(env.t, err)
 }
 
-// reply sends a segment of a server to a node.
-func (w *world) reply(server int, to netip.AddrPort, s segment) {
+// sendFromServer sends a segment of a server to a node.
+func (env *testEnv) sendFromServer(server int, to netip.AddrPort, s segment) {
 	raw, err := bronzewire.BuildTCP(nil, service, caller, s.flags, s.seq, s.ack, []byte(s.payload))
-	require.NoError(w.t, err)
-	_, err = w.servers[server].WriteToUDPAddrPort(raw, to)
-	require.NoError(w.t, err)
+	require.NoError(env.t, err)
+	_, err = env.servers[server].WriteToUDPAddrPort(raw, to)
+	require.NoError(env.t, err)
 }
 
-// until calls send, again and again, until a packet of that kind, with payload
-// or without, arrives at a server or (fabric) the fabric.
-func (w *world) until(send func(), fabric bool, kind bronzeflow.Kind, payload int) arrival {
+// waitFor calls send repeatedly until a packet of that kind with that payload
+// length arrives, at the fabric if fabric is set, otherwise at a server.
+func (env *testEnv) waitFor(send func(), fabric bool, kind bronzeflow.Kind, payload int) arrival {
 	for {
 		send()
-		again := time.NewTimer(retransmit)
-		a, ok := w.collect(again.C, fabric, kind, payload)
+		again := time.NewTimer(retransmitInterval)
+		a, ok := env.waitForArrival(again.C, fabric, kind, payload)
 		again.Stop()
 		if ok {
 			return a
@@ -236,55 +236,56 @@
 	}
 }
 
-func (w *world) collect(again <-chan time.Time, fabric bool, kind bronzeflow.Kind, payload int) (a arrival, ok bool) {
+// waitForArrival waits for such a packet; ok is false if again fires first.
+func (env *testEnv) waitForArrival(again <-chan time.Time, fabric bool, kind bronzeflow.Kind, payload int) (a arrival, ok bool) {
 	for {
 		select {
-		case a = <-w.arrivals:
+		case a = <-env.arrivals:
 		case <-again:
 			return a, false
 		}
-		w.check(&a)
+		env.handleArrival(&a)
 		if (a.server < 0) == fabric && a.packet.Kind == kind && a.packet.Payload == payload {
 			return a, true
 		}
 	}
 }
 
-// check plays the servers' part in what no test waits for, and requires that
-// payload reaches no other server than the pinned one.
-func (w *world) check(a *arrival) {
+// handleArrival sends the servers' replies to refused openings and to probes, and
+// requires that payload reaches no server but the pinned one.
+func (env *testEnv) handleArrival(a *arrival) {
 	if a.server < 0 {
 		return
 	}
 	switch {
-	case a.packet.Kind == bronzeflow.Open && w.refuse:
-		w.reply(a.server, a.from, refusal)
-	case a.packet.Payload > 0 && w.pinned >= 0:
-		require.Equal(w.t, w.pinned, a.server, "payload at another server")
-	case a.packet.Kind == bronzeflow.Data && a.packet.Payload == 0 && a.server == w.pinned:
-		w.reply(a.server, a.from, segment{flags: bronzewire.ACK, seq: serverSeq + 1, ack: callerSeq + 1})
+	case a.packet.Kind == bronzeflow.Open && env.refuse:
+		env.sendFromServer(a.server, a.from, refusal)
+	case a.packet.Payload > 0 && env.pinned >= 0:
+		require.Equal(env.t, env.pinned, a.server, "payload at another server")
+	case a.packet.Kind == bronzeflow.Data && a.packet.Payload == 0 && a.server == env.pinned:
+		env.sendFromServer(a.server, a.from, segment{flags: bronzewire.ACK, seq: serverSeq + 1, ack: callerSeq + 1})
 	case a.packet.Kind == bronzeflow.Data && a.packet.Payload == 0:
-		w.reply(a.server, a.from, segment{flags: bronzewire.RST, seq: serverSeq + 1})
+		env.sendFromServer(a.server, a.from, segment{flags: bronzewire.RST, seq: serverSeq + 1})
 	}
 }
 
-// open establishes the flow with its caller's packets at one node and the
-// server's at another.
-func (w *world) open(callers, servers *Node) {
-	a := w.until(func() { w.call(callers, opening) }, false, bronzeflow.Open, 0)
-	w.pinned = a.server
-	w.until(func() { w.reply(a.server, servers.EdgeAddress(), accept) }, true, bronzeflow.Accept, 0)
+// openFlow establishes the flow, with the caller's packets sent to one node and
+// the server's to another.
+func (env *testEnv) openFlow(callers, servers *Node) {
+	a := env.waitFor(func() { env.sendFromCaller(callers, opening) }, false, bronzeflow.Open, 0)
+	env.pinned = a.server
+	env.waitFor(func() { env.sendFromServer(a.server, servers.EdgeAddress(), accept) }, true, bronzeflow.Accept, 0)
 }
 
-// ask makes a request through one node and has it answered through another.
-func (w *world) ask(callers, servers *Node) {
-	w.until(func() { w.call(callers, request) }, false, bronzeflow.Data, len(request.payload))
-	w.until(func() { w.reply(w.pinned, servers.EdgeAddress(), answer1) }, true, bronzeflow.Data, len(answer1.payload))
+// makeRequest makes a request through one node and answers it through another.
+func (env *testEnv) makeRequest(callers, servers *Node) {
+	env.waitFor(func() { env.sendFromCaller(callers, request) }, false, bronzeflow.Data, len(request.payload))
+	env.waitFor(func() { env.sendFromServer(env.pinned, servers.EdgeAddress(), response) }, true, bronzeflow.Data, len(response.payload))
 }
 
-// get returns the status code of a path of the node's HTTP address, 0 if
-// nobody listens there.
-func (w *world) get(n *Node, path string) int {
+// getStatusCode returns the status code for a path of the node's HTTP address,
+// or 0 if the request fails.
+func (env *testEnv) getStatusCode(n *Node, path string) int {
 	res, err := http.Get("http://" + n.HTTPAddress().String() + path)
 	if errors.Is(err, io.EOF) || err != nil {
 		return 0
--- a/bronzenode/node_test.go
+++ b/bronzenode/node_test.go
@@ -14,73 +14,73 @@
 	"bronzeusher.example/bronzeusher/bronzewire"
 )
 
-// The caller sees one connection. The fabric hands its opening to one node
-// and the server's acceptance to another, and then each further packet to
-// either; the node that didn't place the flow has to ask the one that did.
+// The fabric sends the opening to one node, the server's acceptance to another,
+// and each further packet to either. The node that didn't place the flow has to
+// ask the one that did, and the caller must see a single connection.
 func TestFlowThroughTwoNodes(t *testing.T) {
-	w := newWorld(t, 3)
-	a := w.start("a")
-	b := w.start("b", a)
-	w.open(a, b)
-	w.ask(b, a)
-	w.ask(a, b)
-	w.ask(b, b)
-	require.Equal(t, http.StatusOK, w.get(a, MetricsPath))
-	require.Equal(t, http.StatusOK, w.get(b, StatusPath))
-	require.Equal(t, uint64(1), b.Revision(), "b has no platform: its records are a's")
+	env := newTestEnv(t, 3)
+	a := env.start("a")
+	b := env.start("b", a)
+	env.openFlow(a, b)
+	env.makeRequest(b, a)
+	env.makeRequest(a, b)
+	env.makeRequest(b, b)
+	require.Equal(t, http.StatusOK, env.getStatusCode(a, MetricsPath))
+	require.Equal(t, http.StatusOK, env.getStatusCode(b, StatusPath))
+	require.Equal(t, uint64(1), b.Revision(), "b has no platform, so its records must come from a")
 }
 
-// The caller sees a reset in answer to its opening, and may go elsewhere:
-// each server that was tried refused the opening, and nothing ran.
+// If every server that was tried refuses the opening, nothing ran, and the
+// caller gets a reset and may try elsewhere.
 func TestRefusedByAllServers(t *testing.T) {
-	w := newWorld(t, 2)
-	w.refuse = true
-	a := w.start("a")
-	w.until(func() { w.call(a, opening) }, true, bronzeflow.Refuse, 0)
+	env := newTestEnv(t, 2)
+	env.refuse = true
+	a := env.start("a")
+	env.waitFor(func() { env.sendFromCaller(a, opening) }, true, bronzeflow.Refuse, 0)
 	counts := a.Counters()
 	require.NotZero(t, counts["Retry.ServerRefused"])
 	require.NotZero(t, counts["Refuse.ServerRefused"])
 }
 
-// The caller sees nothing of a rollout. The node that holds its flow gets
-// SIGTERM: the fabric is told to stop choosing it, the flow's new owner learns
-// where the flow is pinned, and only then the node ends.
+// The node that holds a flow leaves, as in a rollout. It must stop being ready,
+// and tell the flow's new owner the pinned server before it ends, so that the
+// flow continues.
 func TestLeaveKeepsFlow(t *testing.T) {
-	w := newWorld(t, 3)
-	a := w.start("a")
-	b := w.start("b", a)
-	w.open(a, b)
-	w.ask(a, b)
-	undone, err := a.Leave(context.Background())
+	env := newTestEnv(t, 3)
+	a := env.start("a")
+	b := env.start("b", a)
+	env.openFlow(a, b)
+	env.makeRequest(a, b)
+	remaining, err := a.Leave(context.Background())
 	require.NoError(t, err)
-	require.Equal(t, bronzecore.Remaining{}, undone)
+	require.Equal(t, bronzecore.Remaining{}, remaining)
 	require.False(t, a.Ready())
 	_, err = a.Leave(context.Background())
 	require.ErrorIs(t, err, ErrLeaving)
-	w.ask(b, b)
+	env.makeRequest(b, b)
 	require.True(t, b.Ready())
 }
 
-// The caller sees a pause at most. The node that holds its flow dies without
-// a word; the other one finds out, looks for the flow's server by its copies
-// and by empty probes, and never sends the request to another server.
+// The node that holds a flow dies without notice. The other one detects it,
+// finds the flow's server by copies and by empty probes, and must never send
+// the request to another server.
 func TestKillKeepsFlow(t *testing.T) {
-	w := newWorld(t, 3)
-	a := w.start("a")
-	b := w.start("b", a)
-	w.open(a, b)
-	w.ask(a, b)
+	env := newTestEnv(t, 3)
+	a := env.start("a")
+	b := env.start("b", a)
+	env.openFlow(a, b)
+	env.makeRequest(a, b)
 	a.Kill()
-	w.ask(b, b)
+	env.makeRequest(b, b)
 }
 
-// A caller would see a stranger's traffic. A process that is no member sends
-// a relayed packet to a node's data address, as the new user of a dead node's
-// address may do by mistake; the node drops it, and the next packet that a
-// server gets is the fabric's.
-func TestStrangersFrameIsDropped(t *testing.T) {
-	w := newWorld(t, 1)
-	a := w.start("a")
+// A process that is not a member may send a relayed packet to a node's data
+// address, such as the new user of a dead node's address. If the node accepted
+// it, a caller could get another's traffic. The node must drop the frame, so
+// that the first packet at a server is the fabric's.
+func TestFrameFromNonMember(t *testing.T) {
+	env := newTestEnv(t, 1)
+	a := env.start("a")
 	forged := netip.MustParseAddrPort("192.0.2.66:4001")
 	raw, err := bronzewire.BuildTCP(nil, forged, service, bronzewire.SYN, callerSeq, 0, nil)
 	require.NoError(t, err)
@@ -93,16 +93,16 @@
 		require.NoError(t, err)
 		return a.Counters()["UnknownPeer"] > 0
 	})
-	w.call(a, opening)
-	first := <-w.arrivals
+	env.sendFromCaller(a, opening)
+	first := <-env.arrivals
 	require.Equal(t, caller, first.packet.Key.CallerAddrPort())
 }
 
-// A truncated packet, one for no service, and one whose claimed server isn't
-// known are dropped, each under its own reason.
-func TestDropsAreCountedByReason(t *testing.T) {
-	w := newWorld(t, 1)
-	a := w.start("a")
+// A truncated packet, one of an unknown IP version, and one for no service are
+// dropped, each under its own reason.
+func TestDropReasons(t *testing.T) {
+	env := newTestEnv(t, 1)
+	a := env.start("a")
 	raw, err := bronzewire.BuildTCP(nil, service, caller, bronzewire.SYN, callerSeq, 0, nil)
 	require.NoError(t, err)
 	for reason, packet := range map[string][]byte{
@@ -112,24 +112,24 @@
 	} {
 		before := a.Counters()[reason]
 		await(func() bool {
-			_, err := w.fabric.WriteToUDPAddrPort(packet, a.EdgeAddress())
+			_, err := env.fabric.WriteToUDPAddrPort(packet, a.EdgeAddress())
 			require.NoError(t, err)
 			return a.Counters()[reason] > before
 		})
 	}
 }
 
-// An operator who mistypes an address that is in use gets told which.
-func TestNewNamesTheAddress(t *testing.T) {
-	w := newWorld(t, 1)
-	a := w.start("a")
+// If an address is in use or a field is missing, the error names the field.
+func TestNewErrorNamesField(t *testing.T) {
+	env := newTestEnv(t, 1)
+	a := env.start("a")
 	cfg := a.cfg
 	cfg.HTTPAddress = a.HTTPAddress()
 	cfg.ControlAddress, cfg.DataAddress, cfg.EdgeAddress = loopback, loopback, loopback
 	_, err := New(cfg)
 	require.ErrorContains(t, err, "HTTPAddress")
 	_, err = New(Config{})
-	var fault *FieldError
-	require.ErrorAs(t, err, &fault)
-	require.Equal(t, "Name", fault.Field)
+	var fieldErr *FieldError
+	require.ErrorAs(t, err, &fieldErr)
+	require.Equal(t, "Name", fieldErr.Field)
 }
--- a/bronzenode/opening_test.go
+++ b/bronzenode/opening_test.go
@@ -13,9 +13,9 @@
 	"bronzeusher.example/bronzeusher/bronzewire"
 )
 
-// What is left of an opening with payload is to the byte what its caller would
-// have sent without.
-func TestBareOpeningAgainstBuilder(t *testing.T) {
+// A stripped opening equals, byte for byte, the one that its caller would have
+// sent without payload.
+func TestStripPayload(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := caller, service
 		if rapid.Bool().Draw(t, "IPv6") {
@@ -38,8 +38,8 @@
 	})
 }
 
-// The caller's options, such as its segment size, reach the server.
-func TestBareOpeningKeepsOptions(t *testing.T) {
+// The caller's options, such as its maximum segment size, reach the server.
+func TestStripPayloadKeepsOptions(t *testing.T) {
 	ip := &layers.IPv4{
 		Version: 4, TTL: 64, Protocol: layers.IPProtocolTCP,
 		SrcIP: caller.Addr().AsSlice(), DstIP: service.Addr().AsSlice(),
@@ -61,14 +61,14 @@
 	require.Equal(t, serialize(""), w.packet.Raw)
 }
 
-// The caller's request would run twice. Its opening carries it, the first
-// server goes silent, and a second one is tried: neither may have seen the
-// request before it accepted.
-func TestOpeningLeavesItsPayload(t *testing.T) {
-	w := newWorld(t, 2)
-	a := w.start("a")
+// If a server got the request in an opening, went silent, and a second server
+// was tried, the request would run twice. No server may get the request before
+// it has accepted.
+func TestOpeningForwardedWithoutPayload(t *testing.T) {
+	env := newTestEnv(t, 2)
+	a := env.start("a")
 	early := opening
 	early.payload = "outline"
-	w.until(func() { w.call(a, early) }, false, bronzeflow.Open, 0)
+	env.waitFor(func() { env.sendFromCaller(a, early) }, false, bronzeflow.Open, 0)
 	require.NotZero(t, a.Counters()["PayloadsLeft"])
 }
--- a/bronzenode/reports_test.go
+++ b/bronzenode/reports_test.go
@@ -22,14 +22,14 @@
 	"bronzeusher.example/bronzeusher/bronzelink"
 )
 
-// endpoints stands for the backend servers' health and load endpoints.
-type endpoints struct {
+// reportEndpoints stands in for the backend servers' health and load endpoints.
+type reportEndpoints struct {
 	answer func(host string) (report ServerReport, err error)
 	polls  atomic.Int64
 }
 
 // RoundTrip answers a poll.
-func (e *endpoints) RoundTrip(r *http.Request) (res *http.Response, err error) {
+func (e *reportEndpoints) RoundTrip(r *http.Request) (res *http.Response, err error) {
 	e.polls.Add(1)
 	report, err := e.answer(r.URL.Hostname())
 	if err != nil {
@@ -39,15 +39,15 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(string(body)))}, err
 }
 
-// poller is a node whose polls a test drives.
-type poller struct {
+// pollingNode is a node whose polls are driven by a test.
+type pollingNode struct {
 	*Node
 	due dueServers
 }
 
-// newPoller returns a node without peers that has the servers host-0 to
-// host-(n-1) to poll.
-func newPoller(t *testing.T, n int, e *endpoints, counts *counters) *poller {
+// newPollingNode returns a node without peers that polls the servers host-0 to
+// host-(n-1).
+func newPollingNode(t *testing.T, n int, e *reportEndpoints, counts *counters) *pollingNode {
 	v := bronzeconf.NewServiceV2()
 	v.Customer, v.Brand, v.Name = "agency", "maps", "map-live"
 	v.Addresses = []netip.Addr{service.Addr()}
@@ -71,22 +71,22 @@
 		[]bronzeconf.StoredRecord{{Name: "map-live", Revision: 1, Body: body}})
 	require.NoError(t, err)
 	require.Empty(t, node.store.Snapshot().Refusals)
-	return &poller{Node: node}
+	return &pollingNode{Node: node}
 }
 
-// hostID returns the identifier of host-i.
+// hostID returns the ID of server host-i.
 func hostID(i int) bronzeflow.ServerID {
 	return bronzeflow.NewServerID("agency", fmt.Sprintf("host-%d", i))
 }
 
-// polling runs steps in a bubble, with a node that has n servers to poll.
-func polling(t *testing.T, n int, e *endpoints, steps func(t *testing.T, n *poller)) {
-	counts := newCounters() // its goroutine stays outside
-	synctest.Test(t, func(t *testing.T) { steps(t, newPoller(t, n, e, counts)) })
+// testPolling runs steps in a synctest bubble, with a node that polls n servers.
+func testPolling(t *testing.T, n int, e *reportEndpoints, steps func(t *testing.T, n *pollingNode)) {
+	counts := newCounters() // its goroutine must start outside the bubble
+	synctest.Test(t, func(t *testing.T) { steps(t, newPollingNode(t, n, e, counts)) })
 }
 
-// poll polls once a second for d and calls step after each time.
-func (n *poller) poll(t *testing.T, d time.Duration, step func()) {
+// pollFor polls once a second for d and calls step after each time.
+func (n *pollingNode) pollFor(t *testing.T, d time.Duration, step func()) {
 	for range d / time.Second {
 		time.Sleep(time.Second)
 		n.reports.pollDue(t.Context(), &n.due)
@@ -95,17 +95,17 @@
 	}
 }
 
-// A node has more servers to ask than fit its byte budget. It asks as many as
-// do, and each in its turn.
-func TestPollsKeepTheirBudget(t *testing.T) {
+// A node has more servers to poll than its byte budget allows at once. It stays
+// within the bound in each interval, and polls every server in turn.
+func TestPollBudget(t *testing.T) {
 	const servers = 700
 	asked := make(chan string, 2*servers)
-	e := &endpoints{answer: func(host string) (report ServerReport, err error) {
+	e := &reportEndpoints{answer: func(host string) (report ServerReport, err error) {
 		asked <- host
 		return report, nil
 	}}
-	polling(t, servers, e, func(t *testing.T, n *poller) {
-		n.poll(t, servers/pollsPerInterval*time.Second, func() {
+	testPolling(t, servers, e, func(t *testing.T, n *pollingNode) {
+		n.pollFor(t, servers/pollsPerInterval*time.Second, func() {
 			require.LessOrEqual(t, e.polls.Swap(0), int64(pollsPerInterval))
 		})
 	})
@@ -116,61 +116,62 @@
 	require.Len(t, hosts, servers)
 }
 
-// A server leaves for a minute, and all nodes must know once, not again and
-// again: such news goes out over the byte budget. It is asked every six
-// seconds, and its endpoint tells no connections, which must not be passed on
-// as none. When it stays, or its endpoint is dead, that is soon known too.
-func TestLeavingServerIsNewsOnce(t *testing.T) {
+// A server that leaves for a minute must appear in the node's load once and stay
+// there, because each such change is sent even beyond the byte budget. The server
+// is polled every six seconds, and its endpoint omits the connections, which must
+// not be shared as 0. When the server stays after all, or its endpoint is dead,
+// it must disappear from the load soon.
+func TestLeavingServerSharedOnce(t *testing.T) {
 	const leaving = 7
 	var stays, dead atomic.Bool
-	e := &endpoints{answer: func(host string) (report ServerReport, err error) {
+	e := &reportEndpoints{answer: func(host string) (report ServerReport, err error) {
 		if dead.Load() {
 			return report, errors.New("unreachable")
 		}
 		report.Leaving = host == fmt.Sprintf("10.0.0.%d", leaving) && !stays.Load()
 		return report, nil
 	}}
-	polling(t, 6*pollsPerInterval, e, func(t *testing.T, n *poller) {
-		news := 0
+	testPolling(t, 6*pollsPerInterval, e, func(t *testing.T, n *pollingNode) {
+		changes := 0
 		var last []bronzeflow.ServerID
 		step := func() {
 			load := n.load()
 			require.Empty(t, load.Reported)
 			if !slices.Equal(last, load.Leaving) {
-				news++
+				changes++
 			}
 			last = load.Leaving
 		}
-		n.poll(t, time.Minute, step)
+		n.pollFor(t, time.Minute, step)
 		require.Equal(t, []bronzeflow.ServerID{hostID(leaving)}, last)
-		require.Equal(t, 1, news)
+		require.Equal(t, 1, changes)
 		stays.Store(true)
-		n.poll(t, 7*time.Second, step)
+		n.pollFor(t, 7*time.Second, step)
 		require.Empty(t, last)
 		stays.Store(false)
-		n.poll(t, 7*time.Second, step)
+		n.pollFor(t, 7*time.Second, step)
 		require.NotEmpty(t, last)
 		dead.Store(true)
-		n.poll(t, leavingHold+3*6*time.Second, step)
+		n.pollFor(t, leavingHold+3*6*time.Second, step)
 		require.Empty(t, last)
 	})
 }
 
-// A peer has told once that a server is leaving, and nothing has changed
-// since. New flows must stay away as long as that load stands, and come back
-// when the peer is gone.
-func TestStandingLoadHoldsLeaving(t *testing.T) {
-	polling(t, 2, &endpoints{answer: func(string) (report ServerReport, err error) { return report, nil }}, func(t *testing.T, n *poller) {
-		left := func() bool { return n.balancer.Status().Services[0].Servers[0].Leaving }
+// A peer has reported a leaving server in a load that it doesn't repeat. The
+// server must get no new flows while that load is valid, and get them again when
+// the peer is gone.
+func TestRenewLeaving(t *testing.T) {
+	testPolling(t, 2, &reportEndpoints{answer: func(string) (report ServerReport, err error) { return report, nil }}, func(t *testing.T, n *pollingNode) {
+		leaving := func() bool { return n.balancer.Status().Services[0].Servers[0].Leaving }
 		n.onLoad(&bronzelink.Load{Origin: "b", Sequence: 1, Leaving: []bronzeflow.ServerID{hostID(0)}})
 		for range time.Minute / DefaultShareInterval {
 			time.Sleep(DefaultShareInterval)
 			n.share()
-			require.True(t, left())
+			require.True(t, leaving())
 		}
 		n.sharedLoads.forget("b")
 		time.Sleep(leavingHold)
 		n.share()
-		require.False(t, left())
+		require.False(t, leaving())
 	})
 }
--- a/bronzenode/tls_test.go
+++ b/bronzenode/tls_test.go
@@ -19,7 +19,7 @@
 	"bronzeusher.example/bronzeusher/bronzelink"
 )
 
-// authority signs the nodes' certificates.
+// authority is a certificate authority that signs the nodes' certificates.
 type authority struct {
 	t    *testing.T
 	dir  string
@@ -44,7 +44,8 @@
 	return a
 }
 
-// sign makes a key and a certificate for it, signed by signer or by itself.
+// sign creates a key and a certificate for it, signed by signer, or self-signed
+// if signer is nil.
 func (a *authority) sign(template, parent *x509.Certificate, signer *ecdsa.PrivateKey) (*ecdsa.PrivateKey, []byte) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(a.t, err)
@@ -63,7 +64,7 @@
 	return file
 }
 
-// issue writes a certificate and key for the node of that name.
+// issue writes a certificate and a key for the node called name.
 func (a *authority) issue(name string) (certificate, key string) {
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(2), DNSNames: []string{name},
@@ -76,11 +77,11 @@
 	return a.write(name+".pem", "CERTIFICATE", der), a.write(name+".key", "EC PRIVATE KEY", encoded)
 }
 
-// Two nodes of one authority form a fleet. A third one has a certificate of
-// another authority: both refuse its links, under a counter of its own, and
-// neither takes it for a member.
-func TestNodesLinkWithCertificates(t *testing.T) {
-	w := newWorld(t, 1)
+// Two nodes with certificates of one authority form a fleet. A third node has a
+// certificate of another authority: its links must be refused and counted under
+// their own reason, and neither node may take it for a member.
+func TestTLSLinks(t *testing.T) {
+	env := newTestEnv(t, 1)
 	ours, theirs := newAuthority(t), newAuthority(t)
 	secure := func(from *authority) func(*Config) {
 		return func(cfg *Config) {
@@ -89,9 +90,9 @@
 			cfg.Authority = from.file
 		}
 	}
-	w.change = secure(ours)
-	a := w.start("a")
-	b := w.start("b", a)
+	env.configure = secure(ours)
+	a := env.start("a")
+	b := env.start("b", a)
 
 	cfg := b.cfg
 	cfg.Name = "c"
--- a/bronzenode/unit_test.go
+++ b/bronzenode/unit_test.go
@@ -22,8 +22,8 @@
 	"bronzeusher.example/bronzeusher/bronzewire"
 )
 
-// Ranks are those of a naive sort, so exactly n nodes take each task.
-func TestRanksAgainstSort(t *testing.T) {
+// The selection equals that of a naive sort, so exactly n nodes take each task.
+func TestIsSelected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := rapid.SliceOfNDistinct(rapid.StringN(1, 8, -1), 1, 12, rapid.ID[string]).Draw(t, "Names")
 		key, n := rapid.Uint64().Draw(t, "Key"), rapid.IntRange(1, 3).Draw(t, "N")
@@ -37,9 +37,9 @@
 	})
 }
 
-// Whatever the bodies' lengths, the parts hold each of them once, in order,
-// and none is over the bound unless one body alone is.
-func TestSplitKeepsAllBodies(t *testing.T) {
+// For any lengths of bodies, the parts hold each body once, in order, and none
+// exceeds the bound unless a single body does.
+func TestSplitBodies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var bodies []bronzeconf.StoredRecord
 		lengths := rapid.SliceOfN(rapid.IntRange(0, maxRecordsBytes+1), 0, 6).Draw(t, "Lengths")
@@ -62,28 +62,28 @@
 	})
 }
 
-// Callers see nothing for the length of the pause, and then late packets: the
-// whole node stands still, and a second pause meanwhile changes nothing.
-func TestGateHoldsUp(t *testing.T) {
+// The gate blocks for the length of the pause, and closing it again meanwhile
+// has no effect.
+func TestGate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var g gate
 		g.wait()
-		began := time.Now()
+		start := time.Now()
 		g.closeFor(time.Second)
 		g.closeFor(time.Hour)
 		g.wait()
-		require.Equal(t, time.Second, time.Since(began))
+		require.Equal(t, time.Second, time.Since(start))
 		g.closeFor(time.Hour)
 		g.open()
 		g.wait()
-		require.Equal(t, time.Second, time.Since(began))
+		require.Equal(t, time.Second, time.Since(start))
 	})
 }
 
-// A report that travels in several loads is one report, or its server would
-// seem to stand still; after the interval of the polls the same figures are
-// news again.
-func TestLoadsRepeatReports(t *testing.T) {
+// A report that arrives in several loads counts once, or its server's
+// connections would seem unchanged. After the poll interval, the same number
+// counts as a new report.
+func TestFreshReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var s sharedLoads
 		load := &bronzelink.Load{Origin: "b", Reported: []bronzelink.LoadItem{{Server: 1, Count: 5}}}
@@ -98,24 +98,24 @@
 	})
 }
 
-// A record's newest version has faults, so no peer has its body: the node
-// asks for it a few times, and again only at the next revision.
-func TestLackingAsksAFewTimes(t *testing.T) {
+// If the newest version of a record is invalid, no peer has its body. The node
+// requests it a few times, and again only at the next revision.
+func TestMissingRecordsRequestLimit(t *testing.T) {
 	var l missingRecords
-	lacks := func(present []bronzeconf.RecordVersion) (names []string) {
+	missing := func(present []bronzeconf.RecordVersion) (names []string) {
 		for _, v := range present {
 			names = append(names, v.Name)
 		}
 		return names
 	}
-	require.False(t, l.shouldRequest(lacks))
+	require.False(t, l.shouldRequest(missing))
 	for revision := uint64(1); revision <= 2; revision++ {
 		l.set(revision, []bronzeconf.RecordVersion{{Name: "map-live", Revision: revision}})
 		l.set(revision, nil)
 		for range maxMissingRequests {
-			require.True(t, l.shouldRequest(lacks))
+			require.True(t, l.shouldRequest(missing))
 		}
-		require.False(t, l.shouldRequest(lacks))
+		require.False(t, l.shouldRequest(missing))
 	}
 }
 
@@ -147,12 +147,11 @@
 	}
 }
 
-// A caller is told that its request was not run, and sends it elsewhere, where
-// it runs a second time. Its opening carried the request, the server got it
-// and went silent, and the node gave the flow up: it must answer with nothing
-// that a refusal could be taken for. An opening without a request, and a
-// packet of an established connection, may get a reset.
-func TestAbortMakesNoClaim(t *testing.T) {
+// The opening carried a request, and the node aborts the flow after the server
+// went silent. A reset would tell the caller that the request didn't run, and it
+// would run a second time elsewhere. An opening without a request, and a packet
+// of an established connection, may get a reset.
+func TestAbort(t *testing.T) {
 	cases := []struct {
 		kind    bronzeflow.Kind
 		flags   bronzewire.TCPFlags
@@ -175,20 +174,21 @@
 	}
 }
 
-// Links between two zones go silent in a partition and stay so when it heals:
-// what was written is lost, and a read ends only with the connection.
-func TestCutLosesLinkForGood(t *testing.T) {
-	cut := false
-	n := &Node{cfg: Config{Partitioned: func(_, _ netip.AddrPort) bool { return cut }}}
+// A link stays silent after the partition has healed: what was written is lost,
+// and a read ends only with the connection. A dial into a partition blocks until
+// its context is done.
+func TestPartitionedConn(t *testing.T) {
+	partitioned := false
+	n := &Node{cfg: Config{Partitioned: func(_, _ netip.AddrPort) bool { return partitioned }}}
 	server := httptest.NewServer(http.NotFoundHandler())
 	defer server.Close()
 	n.control = server.Listener
 	conn, err := n.dial(context.Background(), server.Listener.Addr().String())
 	require.NoError(t, err)
-	cut = true
+	partitioned = true
 	_, err = conn.Write([]byte("GET / HTTP/1.0\r\n\r\n"))
 	require.NoError(t, err)
-	cut = false
+	partitioned = false
 	read := make(chan error, 1)
 	go func() {
 		_, err := conn.Read(make([]byte, 1))
@@ -198,7 +198,7 @@
 	require.Error(t, <-read)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	cut = true
+	partitioned = true
 	_, err = n.dial(ctx, server.Listener.Addr().String())
 	require.ErrorIs(t, err, context.Canceled)
 }
