--- a/bronzenode/records.go
+++ b/bronzenode/records.go
@@ -133,23 +133,23 @@
 	tries    int
 }
 
-func (l *missingRecords) set(revision uint64, present []bronzeconf.RecordVersion) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if revision > l.revision {
-		l.revision, l.present, l.tries = revision, present, 0
+func (m *missingRecords) set(revision uint64, present []bronzeconf.RecordVersion) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if revision > m.revision {
+		m.revision, m.present, m.tries = revision, present, 0
 	}
 }
 
 // shouldRequest reports whether bodies are missing that may be requested, and
 // if so counts a request.
-func (l *missingRecords) shouldRequest(missing func([]bronzeconf.RecordVersion) []string) (ok bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.tries >= maxMissingRequests || len(missing(l.present)) == 0 {
+func (m *missingRecords) shouldRequest(missing func([]bronzeconf.RecordVersion) []string) (ok bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.tries >= maxMissingRequests || len(missing(m.present)) == 0 {
 		return false
 	}
-	l.tries++
+	m.tries++
 	return true
 }
 
