--- a/bronzepool/adopt.go
+++ b/bronzepool/adopt.go
@@ -1,7 +1,7 @@
 package bronzepool
 
-// Adopt counts an established flow that was admitted elsewhere: a node takes
-// it over from another. It is never denied, because the flow is running.
+// Adopt counts an established flow that this node takes over from another one.
+// It is never denied, because the flow is already running.
 func (acc *Account) Adopt() {
 	c := acc.customer
 	c.mu.Lock()
--- a/bronzepool/available.go
+++ b/bronzepool/available.go
@@ -2,8 +2,8 @@
 
 import "bronzeusher.example/bronzeusher/bronzeflow"
 
-// Available reports whether server id may have new work: it is in the pool,
-// not leaving, and under its hard limit.
+// Available reports whether server id may take new flows: it is in the pool,
+// not leaving, and below its hard limit of connections.
 func (p *Pool) Available(id bronzeflow.ServerID) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/bronzepool/budget.go
+++ b/bronzepool/budget.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// DefaultBurst is the Burst of a Budget that has none.
+// DefaultBurst is used if Budget.Burst is 0.
 const DefaultBurst = 10
 
-// Budget bounds retries to a share of opens, as a token bucket that opens
-// fill and retries empty. It doesn't fill with time: when callers stop
-// opening, nothing is left to retry for. The zero value allows no retry. All
-// methods may be called concurrently.
+// Budget limits retries to a share of first attempts. It is a token bucket that
+// first attempts fill and retries drain. It doesn't fill with time: when callers
+// stop opening flows, there is nothing to retry. The zero value allows no
+// retries. All methods are safe for concurrent use.
 type Budget struct {
-	// Share is the part of opens that may be attempted again, 0 to 1. It is
-	// set before the first call; afterwards by SetShare.
+	// Share is the number of retries allowed for each first attempt, 0 to 1.
+	// Set it before the first call; later changes need SetShare.
 	Share float64
-	// Burst is the most retries that can be saved up, and the number that a
-	// new Budget holds. 0 means DefaultBurst.
+	// Burst is the capacity of the bucket in retries. A new Budget starts
+	// full. 0 means DefaultBurst.
 	Burst float64
 
 	mu      sync.Mutex
@@ -26,7 +26,7 @@
 	tokens  float64
 }
 
-// SetShare changes Share. What was saved up is kept.
+// SetShare changes Share and keeps the tokens in the bucket.
 func (b *Budget) SetShare(share float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -34,7 +34,7 @@
 	b.Share = share
 }
 
-// CountOpen notes a first attempt to open a flow.
+// CountOpen counts a first attempt to open a flow.
 func (b *Budget) CountOpen() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -42,8 +42,8 @@
 	b.tokens = min(b.tokens+b.Share, b.burst())
 }
 
-// TryRetry reports whether a further attempt is inside the budget, and takes
-// it from the budget if so.
+// TryRetry reports whether the budget allows a retry, and if so takes it from
+// the budget.
 func (b *Budget) TryRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -70,9 +70,10 @@
 	return DefaultBurst
 }
 
-// Backoff returns how long to wait before the given attempt, the first retry
-// being attempt 1: it doubles from base up to limit, and is drawn from the
-// upper half, so that those who failed together don't come back together.
+// Backoff returns how long to wait before the given attempt, where the first
+// retry is attempt 1. The delay doubles from base up to limit and is drawn at
+// random from its upper half, so that callers that failed together don't retry
+// together.
 func Backoff(attempt int, base, limit time.Duration) time.Duration {
 	d := base
 	for i := 1; i < attempt && d < limit; i++ {
--- a/bronzepool/choose.go
+++ b/bronzepool/choose.go
@@ -6,14 +6,14 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// overflowChoices is how many candidates an exception is chosen from, by load.
-// The least loaded of all would spread little better, and every owner would
-// pick the same.
-const overflowChoices = 5
+// exceptionChoices is the number of candidates among which the least loaded is
+// chosen when a flow can't go to its first candidate. The least loaded of all
+// servers would spread little better, and every owner would pick the same one.
+const exceptionChoices = 5
 
-// Candidates appends to dst up to n servers for the flow hash in rendezvous
-// order over the whole pool, those that are leaving included: the order in
-// which to look for an existing flow.
+// Candidates appends to dst the first n servers in rendezvous order for the
+// flow hash, or fewer if the pool is smaller. Servers that are leaving are
+// included: this is the order in which to look for an existing flow.
 func (p *Pool) Candidates(hash uint64, n int, dst []bronzeflow.ServerID) []bronzeflow.ServerID {
 	ids := p.ids.Load()
 	if ids == nil || n <= 0 {
@@ -33,7 +33,7 @@
 			top = dst[start:]
 		}
 		i := len(top) - 1
-		for ; i > 0 && before(hash, id, top[i-1]); i-- {
+		for ; i > 0 && precedes(hash, id, top[i-1]); i-- {
 			top[i] = top[i-1]
 		}
 		top[i] = id
@@ -42,8 +42,8 @@
 	return dst
 }
 
-// before reports whether a precedes b in the order for hash.
-func before(hash uint64, a, b bronzeflow.ServerID) bool {
+// precedes reports whether a comes before b in the order for hash.
+func precedes(hash uint64, a, b bronzeflow.ServerID) bool {
 	x, y := score(hash, a), score(hash, b)
 	return x > y || x == y && a < b
 }
@@ -52,70 +52,73 @@
 	return bronzeflow.Mix(hash, uint64(id))
 }
 
-// Choose picks the server for a new flow, never one of tried. first is true
-// when it is the flow's first candidate in the order of Candidates, so that
-// other nodes can derive it. With plain set it takes the first candidate that
-// may have work whatever its load (but for hard limits and servers that are
-// silent), so that both sides of a partition choose alike. ok is false if no
-// server may take it.
-func (p *Pool) Choose(hash uint64, tried []bronzeflow.ServerID, plain bool) (id bronzeflow.ServerID, first, ok bool) {
+// Choose picks the server for a new flow, never one of tried. first is true if
+// it is the flow's first candidate in the order of Candidates, so that other
+// nodes can derive it. With ignoreLoad set it picks the first available
+// candidate whatever its load, except that hard limits hold and servers that
+// time out come last, so that both sides of a partition choose alike. ok is
+// false if no server may take the flow.
+func (p *Pool) Choose(hash uint64, tried []bronzeflow.ServerID, ignoreLoad bool) (id bronzeflow.ServerID, first, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
-	p.weigh(now)
-	top := p.top(hash)
+	p.refresh(now)
+	top := p.topCandidate(hash)
 	if top == nil {
 		return 0, false, false
 	}
-	allowed := func(s *server) bool { return s.serving && !s.full() && !slices.Contains(tried, s.id) }
-	s := p.pick(hash, top, allowed, plain, now)
+	allowed := func(s *server) bool { return s.serving && !s.atCapacity() && !slices.Contains(tried, s.id) }
+	s := p.pick(hash, top, allowed, ignoreLoad, now)
 	if s == nil {
 		return 0, false, false
 	}
-	p.noteTrial(s, now)
+	p.countTrial(s, now)
 	return s.id, s == top, true
 }
 
-// pick chooses among the servers that are allowed; top is the flow's first
-// candidate.
-func (p *Pool) pick(hash uint64, top *server, allowed func(*server) bool, plain bool, now int64) *server {
-	if plain {
-		return p.pickPlain(hash, allowed, now)
+// pick chooses among the allowed servers; top is the flow's first candidate.
+func (p *Pool) pick(hash uint64, top *server, allowed func(*server) bool, ignoreLoad bool, now int64) *server {
+	if ignoreLoad {
+		return p.pickIgnoringLoad(hash, allowed, now)
+	}
+	ready := func(s *server) bool {
+		return now >= s.retryAt && !s.closedByReport(now) && p.trialAllowed(s) && allowed(s)
 	}
-	ready := func(s *server) bool { return now >= s.retryAt && !s.shut(now) && p.mayTry(s) && allowed(s) }
 	if p.unshared {
-		if s := p.first(hash, ready); s != nil {
+		if s := p.firstAccepted(hash, ready); s != nil {
 			return s
 		}
-		return p.soonest(hash, allowed)
+		return p.earliestRetry(hash, allowed)
 	}
 	if p.fits(top) && ready(top) {
 		return top
 	}
-	if s := p.overflow(hash, ready); s != nil {
+	if s := p.pickException(hash, ready); s != nil {
 		return s
 	}
-	// Every server that is ready is over its limit, or has had more than its
-	// part of the recent flows. The order spreads as evenly as anything.
-	if s := p.first(hash, ready); s != nil {
+	// Every ready server is over its limit or its quota of recent flows. The
+	// rendezvous order spreads as evenly as any other choice.
+	if s := p.firstAccepted(hash, ready); s != nil {
 		return s
 	}
-	return p.soonest(hash, allowed)
+	return p.earliestRetry(hash, allowed)
 }
 
-// pickPlain returns the first server in the order that isn't known to be
-// silent. Trying a silent one first would end at the same server, but only
-// after its caller has waited, and across a partition most are silent.
-func (p *Pool) pickPlain(hash uint64, allowed func(*server) bool, now int64) *server {
+// pickIgnoringLoad returns the first allowed server in the order that isn't
+// known to time out. Trying a server that times out first would end at the same
+// choice, but only after the caller has waited, and during a partition most
+// servers time out.
+func (p *Pool) pickIgnoringLoad(hash uint64, allowed func(*server) bool, now int64) *server {
 	answers := func(s *server) bool { return (!s.silent || now >= s.retryAt) && allowed(s) }
-	if s := p.first(hash, answers); s != nil {
+	if s := p.firstAccepted(hash, answers); s != nil {
 		return s
 	}
-	return p.first(hash, allowed)
+	return p.firstAccepted(hash, allowed)
 }
 
-// top returns the first server in the order for hash.
-func (p *Pool) top(hash uint64) *server {
+// topCandidate returns the first server in the order for hash, or nil if the
+// pool is empty.
+func (p *Pool) topCandidate(hash uint64) *server {
 	ids := p.ids.Load()
 	if ids == nil || len(*ids) == 0 {
 		return nil
@@ -130,68 +133,70 @@
 	return p.servers[best]
 }
 
-// first returns the first server in the order for hash that is accepted.
-func (p *Pool) first(hash uint64, accept func(*server) bool) *server {
+// firstAccepted returns the first server in the order for hash for which accept
+// is true, or nil.
+func (p *Pool) firstAccepted(hash uint64, accept func(*server) bool) *server {
 	var best *server
 	for _, s := range p.servers {
-		if accept(s) && (best == nil || before(hash, s.id, best.id)) {
+		if accept(s) && (best == nil || precedes(hash, s.id, best.id)) {
 			best = s
 		}
 	}
 	return best
 }
 
-// overflow returns the least loaded of the first candidates that have room.
-// A server that has much less load than the others, or is said to, would get
-// every exception of every owner until the next share shows what they did;
-// so none gets more than its part of what this node placed of late.
-func (p *Pool) overflow(hash uint64, ready func(*server) bool) *server {
-	var order [overflowChoices]*server
+// pickException returns the least loaded of the first candidates that are under
+// their limit, or nil. A server with much less load than the others, actual or
+// reported, would get every exception of every owner until the next exchange
+// of counts, so none gets more than its quota of this node's recent flows.
+func (p *Pool) pickException(hash uint64, ready func(*server) bool) *server {
+	var order [exceptionChoices]*server
 	n := 0
 	for _, s := range p.servers {
-		if !p.fits(s) || p.crowded(s) || !ready(s) {
+		if !p.fits(s) || p.overQuota(s) || !ready(s) {
 			continue
 		}
 		if n < len(order) {
 			n++
-		} else if !before(hash, s.id, order[n-1].id) {
+		} else if !precedes(hash, s.id, order[n-1].id) {
 			continue
 		}
 		i := n - 1
-		for ; i > 0 && before(hash, s.id, order[i-1].id); i-- {
+		for ; i > 0 && precedes(hash, s.id, order[i-1].id); i-- {
 			order[i] = order[i-1]
 		}
 		order[i] = s
 	}
 	var best *server
 	for _, s := range order[:n] {
-		if best == nil || p.pressure(s)*best.weight < p.pressure(best)*s.weight {
+		if best == nil || p.exceptionLoad(s)*best.weight < p.exceptionLoad(best)*s.weight {
 			best = s
 		}
 	}
 	return best
 }
 
-// pressure returns the load of s as exceptions see it: in the own zone one
-// flow less, so that of servers that are loaded alike the near one is taken.
-// The bound holds all the same, so nearness costs no fairness, and a zone
-// whose servers are full is left one flow at a time, and come back to so.
-func (p *Pool) pressure(s *server) float64 {
+// exceptionLoad returns the load by which exceptions are compared: in this
+// node's zone one flow less, so that among equally loaded servers a near one is
+// chosen. The limit still holds, so the preference costs no fairness, and
+// flows move to another zone, and back, one at a time.
+func (p *Pool) exceptionLoad(s *server) float64 {
 	if p.AvailabilityZone != "" && s.zone == p.AvailabilityZone {
 		return s.load - 1
 	}
 	return s.load
 }
 
-// soonest returns the allowed server whose back-off ends first. The back-off
-// is a guess of ours, no reason to refuse a flow that some server might take.
-func (p *Pool) soonest(hash uint64, allowed func(*server) bool) *server {
+// earliestRetry returns the allowed server whose back-off ends first, or nil.
+// The back-off is only this node's guess, and no reason to refuse a flow that
+// some server might accept.
+func (p *Pool) earliestRetry(hash uint64, allowed func(*server) bool) *server {
 	var best *server
 	for _, s := range p.servers {
 		if !allowed(s) {
 			continue
 		}
-		if best == nil || s.retryAt < best.retryAt || s.retryAt == best.retryAt && before(hash, s.id, best.id) {
+		if best == nil || s.retryAt < best.retryAt || s.retryAt == best.retryAt && precedes(hash, s.id, best.id) {
 			best = s
 		}
 	}
--- a/bronzepool/doc.go
+++ b/bronzepool/doc.go
@@ -1,18 +1,19 @@
 // Package bronzepool decides which backend server a new flow goes to, and
-// whether it may be opened at all. It opens no socket and starts no
-// goroutine.
+// whether the flow may be opened at all. It does no I/O and starts no
+// goroutines.
 //
-// A flow's candidates are a rendezvous order over its service's pool, which
-// every node computes alike. A Pool takes the first candidate unless its load
-// is over a bound relative to the fair share, so most flows can be derived
-// from their key. A Pool knows the load from three sources: the flows that
-// this node owns, the counts that other owners share, and what the servers
-// report of themselves. Reports lag and mislead, so each server's are trusted
-// by degree.
+// The candidates of a flow are the servers of its service's pool in rendezvous
+// hashing order, which every node computes alike. A Pool chooses the first
+// candidate unless the load of that server exceeds a bound relative to its
+// fair share, so other nodes can derive the server of most flows from the key
+// alone. The load is estimated from three sources: the flows that this node
+// owns, the counts shared by the other owners, and the servers' own reports.
+// Reports can be late or wrong, so the Pool weights them by a trust level that
+// it keeps for each server.
 //
 // # Usage
 //
-// One Pool serves one service. Tell it what is in force and how many nodes
+// A Pool serves one service. Set the service and the number of nodes that
 // place flows, then choose:
 //
 //	var p bronzepool.Pool
@@ -26,6 +27,6 @@
 //	// Later: p.Accepted(id, after) or p.Refused(id, silent).
 //	p.Ended(id)
 //
-// Share what Owned gives with the other owners about once a second, and pass
-// theirs to SetOwned.
+// Share the counts from Owned with the other owners about once a
+// second, and pass theirs to SetOwned.
 package bronzepool
--- a/bronzepool/limits.go
+++ b/bronzepool/limits.go
@@ -9,23 +9,23 @@
 	"bronzeusher.example/bronzeusher/bronzeconf"
 )
 
-// Denial is why a new flow was not admitted.
+// Denial is the reason why a new flow was not admitted.
 type Denial uint8
 
-// The denials.
+// The values of Denial.
 const (
-	// Admitted is no denial.
+	// Admitted means that the flow was admitted.
 	Admitted Denial = iota
 	// HalfOpenDenied: the service has too many half-open flows.
 	HalfOpenDenied
 	// OpenDenied: the service has too many flows.
 	OpenDenied
-	// RateDenied: the service opens too many flows a second.
+	// RateDenied: the service opens too many flows per second.
 	RateDenied
-	// NodeHalfOpenDenied: the Customer's fair part of the node's half-open
+	// NodeHalfOpenDenied: the Customer's fair share of the node's half-open
 	// flows is used up.
 	NodeHalfOpenDenied
-	// NodeOpenDenied: the Customer's fair part of the node's flows is used up.
+	// NodeOpenDenied: the Customer's fair share of the node's flows is used up.
 	NodeOpenDenied
 	denialCount
 )
@@ -42,21 +42,21 @@
 	return "Unknown"
 }
 
-// A Customer may use this many times the room that is left of a node-wide
-// bound. Room for a Customer that uses none is thus always left, without a
-// list of Customers: when k Customers want all they can get, each ends up
-// with f/(k*f+1) of the bound, and 1/(k*f+1) stays free. Half-open flows are
-// what a flood uses up, so more of them is kept free.
+// A Customer may use up to this factor times the free part of a node-wide
+// limit. This always leaves room for a Customer that uses none, without a list
+// of Customers: if k Customers take all they can get, each ends up with
+// f/(k*f+1) of the limit, and 1/(k*f+1) stays free. A flood uses up half-open
+// flows, so a larger part of their limit is kept free.
 const (
 	halfOpenFactor = 1
 	openFactor     = 8
 )
 
-// Admission bounds what services and Customers may use of a node. The zero
-// value has no node-wide bounds. All methods may be called concurrently.
+// Admission limits the flows of services and Customers on one node. The zero
+// value has no node-wide limits. All methods are safe for concurrent use.
 type Admission struct {
-	// HalfOpen and Open bound the half-open flows and all flows of the node,
-	// 0 means no limit. They are set before the first call.
+	// HalfOpen and Open limit the half-open flows and all flows of the node;
+	// 0 means no limit. Set them before the first call.
 	HalfOpen int
 	Open     int
 
@@ -64,31 +64,32 @@
 	open     atomic.Int64
 
 	mu        sync.Mutex
-	customers map[string]*customerUse
+	customers map[string]*customerUsage
 }
 
-// customerUse is what one Customer uses. Its lock also guards the Customer's
-// accounts, so a storm of one Customer contends with itself only.
-type customerUse struct {
+// customerUsage counts the flows of one Customer. Its lock also guards the
+// Customer's accounts, so a flood of one Customer contends only with itself.
+type customerUsage struct {
 	mu       sync.Mutex
 	halfOpen int64
 	open     int64
 	accounts map[string]*Account
 }
 
-// Account is what one service uses of a node. It stays valid after RemoveService
-// for the flows that are still open.
+// Account counts the flows of one service on a node. It stays valid after
+// RemoveService for the flows that are still open. All methods are safe for
+// concurrent use.
 type Account struct {
 	admission *Admission
-	customer  *customerUse
+	customer  *customerUsage
 	limits    bronzeconf.Limits
 	limiter   *rate.Limiter
 	halfOpen  int64
 	open      int64
 }
 
-// SetService returns the account of a service, with the limits of svc in force. The
-// account of an earlier version of the service is kept.
+// SetService applies the limits of svc and returns its account. A service that
+// is set already keeps its account.
 func (a *Admission) SetService(svc *bronzeconf.Service) *Account {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -107,7 +108,7 @@
 	return acc
 }
 
-// RemoveService forgets the account of a service that is no longer in force.
+// RemoveService removes the account of a service that is no longer configured.
 func (a *Admission) RemoveService(svc *bronzeconf.Service) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -115,23 +116,24 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.accounts, svc.Name)
-	// While flows are open the Customer is kept, so that they still count
-	// against its part if it comes back.
+	// The Customer is kept while it has open flows, so that they still count
+	// against its fair share if it comes back.
 	if len(c.accounts) == 0 && c.open == 0 {
 		delete(a.customers, svc.Customer)
 	}
 }
 
-// customer returns what the Customer uses; the caller holds the lock.
-func (a *Admission) customer(name string) *customerUse {
+// customer returns the usage of the named Customer, adding it if it is new. The
+// caller must hold the lock.
+func (a *Admission) customer(name string) *customerUsage {
 	c := a.customers[name]
 	if c != nil {
 		return c
 	}
 	if a.customers == nil {
-		a.customers = make(map[string]*customerUse)
+		a.customers = make(map[string]*customerUsage)
 	}
-	c = &customerUse{accounts: make(map[string]*Account)}
+	c = &customerUsage{accounts: make(map[string]*Account)}
 	a.customers[name] = c
 	return c
 }
@@ -143,9 +145,8 @@
 	return rate.NewLimiter(rate.Limit(perSecond), perSecond)
 }
 
-// Admit counts a new half-open flow, or says why there must be none. It
-// never waits: a caller who is refused early can go elsewhere, one in a queue
-// can't.
+// Admit counts a new half-open flow, or returns why it is denied. It never
+// waits: a caller that is refused early can go elsewhere, one in a queue can't.
 func (acc *Account) Admit() Denial {
 	c := acc.customer
 	c.mu.Lock()
@@ -153,7 +154,7 @@
 	if d := acc.check(); d != Admitted {
 		return d
 	}
-	// Asked last, because it takes a token.
+	// The limiter is checked last because Allow takes a token.
 	if acc.limiter != nil && !acc.limiter.Allow() {
 		return RateDenied
 	}
@@ -169,31 +170,31 @@
 func (acc *Account) check() Denial {
 	a, c := acc.admission, acc.customer
 	switch {
-	case reached(acc.halfOpen, acc.limits.HalfOpen):
+	case atLimit(acc.halfOpen, acc.limits.HalfOpen):
 		return HalfOpenDenied
-	case reached(acc.open, acc.limits.Open):
+	case atLimit(acc.open, acc.limits.Open):
 		return OpenDenied
-	case overPart(c.halfOpen, a.halfOpen.Load(), a.HalfOpen, halfOpenFactor):
+	case overFairShare(c.halfOpen, a.halfOpen.Load(), a.HalfOpen, halfOpenFactor):
 		return NodeHalfOpenDenied
-	case overPart(c.open, a.open.Load(), a.Open, openFactor):
+	case overFairShare(c.open, a.open.Load(), a.Open, openFactor):
 		return NodeOpenDenied
 	default:
 		return Admitted
 	}
 }
 
-func reached(n int64, limit int) bool {
+func atLimit(n int64, limit int) bool {
 	return limit > 0 && n >= int64(limit)
 }
 
-// overPart reports whether used is all that a Customer may have of bound, of
-// which all Customers use total. Customers are admitted in parallel, so the
-// bound can be passed by as many flows as there are threads, not more.
-func overPart(used, total int64, bound int, factor int64) bool {
+// overFairShare reports whether a Customer that uses used has reached its share
+// of bound, of which all Customers together use total. Customers are admitted in
+// parallel, so bound can be exceeded by at most one flow per thread.
+func overFairShare(used, total int64, bound int, factor int64) bool {
 	return bound > 0 && used >= factor*(int64(bound)-total)
 }
 
-// Established notes that a half-open flow is established.
+// Established records that a half-open flow is established.
 func (acc *Account) Established() {
 	c := acc.customer
 	c.mu.Lock()
@@ -201,8 +202,8 @@
 	acc.endHalfOpen()
 }
 
-// Ended takes a flow of Admit back; established says whether Established was
-// called for it.
+// Ended reverts Admit when a flow has ended; established tells whether
+// Established was called for it.
 func (acc *Account) Ended(established bool) {
 	c := acc.customer
 	c.mu.Lock()
--- a/bronzepool/load.go
+++ b/bronzepool/load.go
@@ -4,66 +4,68 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// share is what an origin said of one server, and this node's own count then.
-type share struct {
-	server *server
-	count  uint32
-	base   uint32
+// peerCount is the flow count that a peer reported for one server. ownBase is
+// this node's own count when the report arrived.
+type peerCount struct {
+	server  *server
+	count   uint32
+	ownBase uint32
 }
 
-// origin is another owner's last word.
-type origin []share
+// peerCounts are the counts that a peer reported last.
+type peerCounts []peerCount
 
-// SetOwned replaces what the node origin says of the flows that it owns.
-// A nil map forgets origin.
-func (p *Pool) SetOwned(name string, counts map[bronzeflow.ServerID]uint32) {
+// SetOwned replaces the counts of the flows that the given peer owns. A nil map
+// removes the peer.
+func (p *Pool) SetOwned(peer string, counts map[bronzeflow.ServerID]uint32) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	o := p.origins[name][:0]
-	p.forget(name)
-	p.reweigh()
+	list := p.peers[peer][:0]
+	p.removePeer(peer)
+	p.invalidate()
 	if counts == nil || p.unshared {
 		return
 	}
-	if p.origins == nil {
-		p.origins = make(map[string]origin)
+	if p.peers == nil {
+		p.peers = make(map[string]peerCounts)
 	}
-	if cap(o) < len(p.servers) {
-		o = make(origin, 0, len(p.servers))
+	if cap(list) < len(p.servers) {
+		list = make(peerCounts, 0, len(p.servers))
 	}
 	for _, s := range p.servers {
-		sh := share{server: s, count: counts[s.id], base: uint32(s.own)}
-		s.shared += int64(sh.count)
-		s.base += int64(sh.base)
-		o = append(o, sh)
+		pc := peerCount{server: s, count: counts[s.id], ownBase: uint32(s.own)}
+		s.peerSum += int64(pc.count)
+		s.ownBaseSum += int64(pc.ownBase)
+		list = append(list, pc)
 	}
-	p.origins[name] = o
+	p.peers[peer] = list
 }
 
-func (p *Pool) forget(name string) {
-	for _, sh := range p.origins[name] {
-		sh.server.shared -= int64(sh.count)
-		sh.server.base -= int64(sh.base)
+func (p *Pool) removePeer(peer string) {
+	for _, pc := range p.peers[peer] {
+		pc.server.peerSum -= int64(pc.count)
+		pc.server.ownBaseSum -= int64(pc.ownBase)
 	}
-	delete(p.origins, name)
+	delete(p.peers, peer)
 }
 
-// dropRemoved takes servers that are no longer in force out of the origins.
+// dropRemoved deletes servers that are no longer in the pool from the peers'
+// counts.
 func (p *Pool) dropRemoved() {
-	for name, o := range p.origins {
-		kept := o[:0]
-		for _, sh := range o {
-			if p.index[sh.server.id] == sh.server {
-				kept = append(kept, sh)
+	for peer, list := range p.peers {
+		kept := list[:0]
+		for _, pc := range list {
+			if p.index[pc.server.id] == pc.server {
+				kept = append(kept, pc)
 			}
 		}
-		clear(o[len(kept):])
-		p.origins[name] = kept
+		clear(list[len(kept):])
+		p.peers[peer] = kept
 	}
 }
 
-// Owned adds the counts of this node's own flows, to be shared, to dst.
-// Servers without any are left out.
+// Owned adds the counts of the flows that this node owns to dst, to be shared
+// with the other owners. Servers without flows are left out.
 func (p *Pool) Owned(dst map[bronzeflow.ServerID]uint32) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -74,37 +76,37 @@
 	}
 }
 
-// othersWeight is how much of a change of this node's own count is taken to
-// have happened at each other owner too. All of it would make the estimate's
-// error grow with the number of owners; nothing would let them all go on
-// filling a server that is full.
-const othersWeight = 0.5
+// peerChangeWeight is the fraction of a change of this node's own count that is
+// assumed for each other owner too. With 1 the error of the estimate would grow
+// with the number of owners; with 0 all owners would go on filling a server
+// that is full.
+const peerChangeWeight = 0.5
 
-// estimate returns the flows that all owners have on s: the counts, with the
-// server's own report blended in as far as it is believed.
+// estimate returns the estimated number of flows that all owners have on s: the
+// shared counts, blended with the server's own report by its weight.
 func (p *Pool) estimate(s *server, now int64) float64 {
 	if p.unshared {
 		own := float64(s.own)
-		return max(own, own+s.believed(now, 1)*(float64(s.report.connections)-own))
+		return max(own, own+s.reportWeight(now, 1)*(float64(s.report.connections)-own))
 	}
-	heard := len(p.origins)
-	others := max(p.owners-1, heard)
-	since := int64(others)*int64(s.own) - s.base
-	total := s.counted() + othersWeight*float64(since)
-	unheard := float64(others-heard) / float64(others+1)
-	if w := s.believed(now, unheard); w > 0 {
-		// Owners that aren't heard act on the same report as this one: taking
-		// each for one that does as this one does keeps them from all filling
-		// the server that it says is idle.
-		alike := othersWeight + (1-othersWeight)*unheard
-		grown := float64(s.own-s.report.own) * (1 + alike*float64(others))
-		total += w * (float64(s.report.connections) + grown - total)
+	sharing := len(p.peers)
+	others := max(p.owners-1, sharing)
+	delta := int64(others)*int64(s.own) - s.ownBaseSum
+	total := s.sharedCount() + peerChangeWeight*float64(delta)
+	missing := float64(others-sharing) / float64(others+1)
+	if w := s.reportWeight(now, missing); w > 0 {
+		// Owners whose counts are missing act on the same report. Assuming
+		// that each places flows as this node does keeps them from all filling
+		// a server that reports to be idle.
+		peerGrowth := peerChangeWeight + (1-peerChangeWeight)*missing
+		growth := float64(s.own-s.report.own) * (1 + peerGrowth*float64(others))
+		total += w * (float64(s.report.connections) + growth - total)
 	}
 	return max(total, float64(s.own))
 }
 
-// counted returns the flows of s that this node has, and that the others
-// have last said to have.
-func (s *server) counted() float64 {
-	return float64(int64(s.own) + s.shared)
+// sharedCount returns the flows of this node on s plus those that the peers
+// reported last.
+func (s *server) sharedCount() float64 {
+	return float64(int64(s.own) + s.peerSum)
 }
--- a/bronzepool/naive_test.go
+++ b/bronzepool/naive_test.go
@@ -129,12 +129,12 @@
 		if b.ID == id {
 			own = float64(b.Connections)
 		}
-		if !n.now.Before(n.leaving[b.ID]) && n.pool.index[b.ID].fails < failsOut {
+		if !n.now.Before(n.leaving[b.ID]) && n.pool.index[b.ID].fails < excludeAfterFails {
 			all += float64(b.Connections)
 		}
 	}
 	if all == 0 {
-		return crowdedMost
+		return maxQuota
 	}
 	return own / all
 }
@@ -146,11 +146,11 @@
 		if pl.id != id {
 			continue
 		}
-		debt = max(debt-min(crowdedFactor*pl.part, crowdedMost)*float64(i-last), 0)
-		debt = min(debt+1, 2*crowdedBurst)
+		debt = max(debt-min(quotaFactor*pl.part, maxQuota)*float64(i-last), 0)
+		debt = min(debt+1, 2*quotaBurst)
 		last = i + 1
 	}
-	return max(debt-min(crowdedFactor*part, crowdedMost)*float64(len(n.placed)-last), 0)
+	return max(debt-min(quotaFactor*part, maxQuota)*float64(len(n.placed)-last), 0)
 }
 
 func (n *naive) total(id bronzeflow.ServerID) float64 {
@@ -172,7 +172,7 @@
 		if !n.now.Before(n.leaving[b.ID]) {
 			loads[b.ID] = n.total(b.ID)
 			weights[b.ID] = float64(b.Connections)
-			if n.pool.index[b.ID].fails < failsOut {
+			if n.pool.index[b.ID].fails < excludeAfterFails {
 				all += loads[b.ID]
 				weight += weights[b.ID]
 			}
@@ -192,11 +192,11 @@
 		}
 		ready = append(ready, id)
 		share := all * weights[id] / weight
-		if weight == 0 || loads[id]+1 > n.limit(share)+tolerance {
+		if weight == 0 || loads[id]+1 > n.limit(share)+loadTolerance {
 			continue
 		}
 		fit = append(fit, id)
-		if n.debt(id, weights[id]/weight)+1 <= crowdedBurst {
+		if n.debt(id, weights[id]/weight)+1 <= quotaBurst {
 			uncrowded = append(uncrowded, id)
 		}
 	}
@@ -209,7 +209,7 @@
 	case slices.Contains(fit, top):
 		return top, true
 	case len(uncrowded) > 0:
-		few := uncrowded[:min(len(uncrowded), overflowChoices)]
+		few := uncrowded[:min(len(uncrowded), exceptionChoices)]
 		return slices.MinFunc(few, func(a, b bronzeflow.ServerID) int {
 			return cmp.Compare(loads[a]*weights[b], loads[b]*weights[a])
 		}), true
--- a/bronzepool/pool.go
+++ b/bronzepool/pool.go
@@ -11,50 +11,51 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// Pool chooses backend servers for one service. The zero value is empty and
-// ready. All methods may be called concurrently.
+// Pool chooses backend servers for one service. The zero value is an empty
+// pool, ready to use. All methods are safe for concurrent use.
 type Pool struct {
-	// Now is the clock, nil means time.Now. It is set before the first call.
+	// Now returns the current time; nil means time.Now. Set it before the
+	// first call.
 	Now func() time.Time
-	// AvailabilityZone is this node's, whose servers are preferred where
-	// that costs no fairness. It is set before the first call; empty means
-	// no preference.
+	// AvailabilityZone is the zone of this node. Servers in it are preferred
+	// where this costs no fairness; empty means no preference. Set it before
+	// the first call.
 	AvailabilityZone string
-	// Jitter returns a number in [0,1) that a back-off is spread by, nil means
-	// a random one. It is set before the first call.
+	// Jitter returns a number in [0,1) that spreads back-offs; nil means a
+	// random one. Set it before the first call.
 	Jitter func() float64
 
-	// ids is read without the lock, so that a search for existing flows
-	// never waits for placements.
+	// ids is read without the lock, so that lookups of existing flows never
+	// wait for placements.
 	ids atomic.Pointer[[]bronzeflow.ServerID]
 
 	mu     sync.Mutex
 	policy bronzeconf.Policy
 	owners int
-	// unshared is set when the owners don't share their counts.
+	// unshared is set if the owners don't share their counts.
 	unshared bool
 	servers  []*server
 	index    map[bronzeflow.ServerID]*server
-	origins  map[string]origin
+	peers    map[string]peerCounts
 	placed   uint64
-	// trials is how many trials were made of late, less trialShare of the flows
-	// placed.
+	// trials is the level of a leaky bucket: each trial adds 1, and each
+	// choice drains trialShare.
 	trials float64
-	// weighted is set if all servers have a bound of connections, so that
-	// their shares are in proportion to it.
+	// weighted is set if all servers have a connection limit; their fair
+	// shares are then proportional to it.
 	weighted bool
 
-	// The sums over the servers that are counted, as of weighedAt and
-	// valid until weighedUntil.
-	total        float64
-	weight       float64
-	weighedAt    int64
-	weighedUntil int64
+	// The sums over the servers with inSums set, computed at refreshedAt and
+	// valid until validUntil.
+	loadSum     float64
+	weightSum   float64
+	refreshedAt int64
+	validUntil  int64
 }
 
-// SetService puts a service's pool and policy in force. Counts of servers
-// that stay are kept; the time of the call starts the ramp of servers that
-// are new, except on the first call.
+// SetService replaces the servers and the policy with those of svc. Counts of
+// servers that stay are kept. New servers start their cold-start ramp, except
+// on the first call.
 func (p *Pool) SetService(svc *bronzeconf.Service) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -72,10 +73,10 @@
 		if s == nil {
 			s = &server{id: b.ID}
 			if !first {
-				s.since = now
+				s.rampStart = now
 			}
 		}
-		s.set(b)
+		s.setConfig(b)
 		index[b.ID] = s
 		servers = append(servers, s)
 		ids = append(ids, b.ID)
@@ -86,37 +87,38 @@
 	p.ids.Store(&ids)
 	p.weighted = !slices.ContainsFunc(servers, func(s *server) bool { return s.connections <= 0 })
 	p.dropRemoved()
-	p.reweigh()
+	p.invalidate()
 }
 
-// SetOwners tells how many nodes place flows on the pool, at least 1.
+// SetOwners sets the number of nodes that place flows on the pool. Values
+// below 1 count as 1.
 func (p *Pool) SetOwners(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.owners = max(n, 1)
-	p.reweigh()
+	p.invalidate()
 }
 
-// MaxSharedPairs is for how many pairs of owner and server the owners' counts
-// can be shared while they are young: a Load item takes about 11 bytes, so at
-// the 1.4 KB a second that go to a node's own part of the pace a round takes
-// up to 36 s (docs/CAPACITY.md). Older counts place worse than the hash alone does, which is even where services
-// are large, and cost bytes and memory.
+// MaxSharedPairs is the most pairs of owner and server for which the owners
+// share their counts. A Load item takes about 11 bytes and the byte budget
+// leaves 1.4 KB/s for a node's own load, so a round takes up to 36 s
+// (docs/CAPACITY.md). Older counts place flows worse than the hash alone,
+// which spreads evenly where services are large, and cost bytes and memory.
 const MaxSharedPairs = 5000
 
-// SetCountsShared tells whether the owners share their counts, which they do unless
-// they say otherwise. Without, a flow goes to its first candidate that may
-// have work: a server that fails openings, says that it is full, is leaving or
-// holds all it may is passed over, and nothing else is.
+// SetCountsShared sets whether the owners share their counts; the default is
+// true. If not, a flow goes to its first available candidate: only servers that
+// fail openings, report to be full, are leaving or have reached their hard
+// limit are skipped.
 func (p *Pool) SetCountsShared(shared bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.unshared = !shared
-	p.reweigh()
+	p.invalidate()
 	if p.unshared {
-		p.origins = nil
+		p.peers = nil
 		for _, s := range p.servers {
-			s.shared, s.base = 0, 0
+			s.peerSum, s.ownBaseSum = 0, 0
 		}
 	}
 }
@@ -130,45 +132,47 @@
 		return
 	}
 	s.own++
-	p.weighOne(s)
-	p.notePlaced(s)
+	p.updateLoad(s)
+	p.countPlaced(s)
 }
 
-// Ended takes a flow of Opened back.
+// Ended reverts Opened when a flow has ended.
 func (p *Pool) Ended(id bronzeflow.ServerID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.index[id]
-	// A server that was removed and put back has lost its count, while
-	// flows of before still end: a negative count would draw new flows.
+	// A server that was removed and added again starts at 0 while its old
+	// flows still end; a negative count would attract new flows.
 	if s == nil || s.own == 0 {
 		return
 	}
 	s.own--
-	p.weighOne(s)
+	p.updateLoad(s)
 }
 
-// Accepted notes that server id established a flow after the given time.
+// Accepted records that server id accepted a flow after the given time.
 func (p *Pool) Accepted(id bronzeflow.ServerID, after time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s := p.index[id]; s != nil {
-		s.accept(after)
-		p.recount(s)
+		s.noteAccepted(after)
+		p.invalidateOnExclusion(s)
 	}
 }
 
-// Refused notes that server id refused an opening or let it time out.
+// Refused records that server id refused an opening, or, if silent is set,
+// let it time out.
 func (p *Pool) Refused(id bronzeflow.ServerID, silent bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s := p.index[id]; s != nil {
-		s.refuse(p.now(), silent, p.jitter())
-		p.recount(s)
+		s.noteRefused(p.now(), silent, p.jitter())
+		p.invalidateOnExclusion(s)
 	}
 }
 
-// Observe takes a report in. One that is older than the last is ignored.
+// Observe takes in a report. The load in a report older than the last one is
+// ignored.
 func (p *Pool) Observe(r Report) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -177,33 +181,35 @@
 		return
 	}
 	if r.Leaving {
-		s.leave(p.now() + int64(ReportedLeavingHold))
+		s.extendLeaving(p.now() + int64(ReportedLeavingHold))
 	}
 	s.observe(&r, p.now())
-	p.reweigh()
+	p.invalidate()
 }
 
-// SetLeaving marks server id as leaving, from whatever source; it is cleared
-// after hold unless a source says so again. Sources never shorten each
-// other's hold. A server that isn't in force is ignored.
+// SetLeaving marks server id as leaving for the duration hold. Calls extend
+// the mark and never shorten it. An unknown server is ignored.
 func (p *Pool) SetLeaving(id bronzeflow.ServerID, hold time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s := p.index[id]; s != nil {
-		s.leave(p.now() + int64(hold))
-		p.reweigh()
+		s.extendLeaving(p.now() + int64(hold))
+		p.invalidate()
 	}
 }
 
-// ServerLoad is one server's state for operators.
+// ServerLoad is the state of one server, for operators.
 type ServerLoad struct {
 	Server   bronzeflow.ServerID
 	Instance string
+	// Own is the number of this node's flows on the server, Total the
+	// estimate for all owners, and Reported the server's own last figure.
 	Own      int
 	Total    float64
 	Reported int
-	// Trust is how far its reports are believed, 0 to 1; Contradictions
-	// counts those that contradicted what this node saw.
+	// Trust is the trust level of the server's reports, 0 to 1;
+	// Contradictions counts the reports that contradicted what this node
+	// observed.
 	Trust          float64
 	Contradictions uint64
 	Leaving        bool
@@ -230,7 +236,7 @@
 	return loads
 }
 
-// jitter returns what to spread a back-off by.
+// jitter returns a number in [0,1) that spreads a back-off.
 func (p *Pool) jitter() float64 {
 	if p.Jitter != nil {
 		return p.Jitter()
@@ -238,7 +244,7 @@
 	return rand.Float64()
 }
 
-// now returns the time in nanoseconds.
+// now returns the time in nanoseconds since the epoch.
 func (p *Pool) now() int64 {
 	if p.Now != nil {
 		return p.Now().UnixNano()
--- a/bronzepool/report.go
+++ b/bronzepool/report.go
@@ -7,7 +7,8 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// Report is what a server's own endpoint, or a peer that polled it, says.
+// Report is the state that a server reports of itself, polled by this node or by
+// a peer.
 type Report struct {
 	Server      bronzeflow.ServerID
 	Connections int
@@ -16,151 +17,159 @@
 }
 
 const (
-	// ReportedLeavingHold is how long a server's own word that it is leaving
-	// holds. Later reports that don't say so don't end it sooner: of two
-	// sources that contradict each other the one that stops new work wins.
+	// ReportedLeavingHold is how long a server counts as leaving after it
+	// reported so. Later reports without the flag don't end it sooner: of two
+	// contradicting sources, the one that stops new flows wins.
 	ReportedLeavingHold = 30 * time.Second
 
-	// reportHalfLife is the age at which a report counts half.
+	// reportHalfLife is the age at which a report has half its weight.
 	reportHalfLife = 3 * time.Second
-	// reportLife is the age from which a report doesn't count at all.
-	reportLife = 30 * time.Second
-	// reportWeight is the weight of a fresh, trusted report when all other
-	// owners share their counts, which are then the better source. It grows
-	// with the part of the owners that are not heard.
-	reportWeight = 0.2
-
-	// A contradiction takes this part of the trust that is left; a report
-	// without one takes this part of the distrust away.
+	// reportMaxAge is the age from which a report has no weight.
+	reportMaxAge = 30 * time.Second
+	// minReportWeight is the weight of a fresh, trusted report if all other
+	// owners share their counts, which are then the better source. The weight
+	// grows with the fraction of owners whose counts are missing.
+	minReportWeight = 0.2
+
+	// A contradiction removes the fraction distrustStep of the remaining
+	// trust; a consistent report removes the fraction trustStep of the
+	// distrust.
 	distrustStep = 0.5
 	trustStep    = 0.1
-	// trusted is the least trust at which a report can shut a server.
-	trusted = 0.5
-	// shutTrial is how often a server that says it is full is tried.
-	shutTrial = time.Second
-
-	// quickAccept is the time in which a full server doesn't accept.
+	// minTrust is the trust from which a report can close a server to new
+	// flows.
+	minTrust = 0.5
+	// fullTrialInterval is how often a server that reports to be full is
+	// tried.
+	fullTrialInterval = time.Second
+
+	// quickAccept is the time within which a full server doesn't accept a
+	// flow.
 	quickAccept = 100 * time.Millisecond
-	// reportSlack is how many flows a true report may be off, and
-	// reportSlackPart the part of the flows: ends are seen at two places.
-	reportSlack     = 4
-	reportSlackPart = 0.1
-	// frozenReports is how many equal reports in a row, while this node's
-	// count moved, are taken for a figure that doesn't move at all.
+	// A correct report may be off by reportSlack flows plus the fraction
+	// reportSlackFraction of the flows, since the server and this node see
+	// the end of a flow at different times.
+	reportSlack         = 4
+	reportSlackFraction = 0.1
+	// frozenReports is the number of equal reports in a row, while this
+	// node's own count changed, from which the figure counts as frozen.
 	frozenReports = 3
 )
 
-// evidence is what this node saw of a server since its last report.
-type evidence struct {
+// observations counts what this node saw of a server since its last report.
+type observations struct {
 	accepted int
 	quick    int
 	refused  int
 }
 
-// report is the last word of a server and how far to trust it.
+// report is the last report of a server and how far to trust it. own is this
+// node's count when the report arrived.
 type report struct {
 	connections int
 	at          int64
 	own         int
-	seen        evidence
+	observed    observations
 
-	// same counts equal reports in a row, sameOwn is this node's count at
-	// the first of them.
-	same    int
-	sameOwn int
+	// sameReports counts equal reports in a row; ownAtFirstSame is this
+	// node's count at the first of them.
+	sameReports    int
+	ownAtFirstSame int
 
 	distrust       float64
 	contradictions uint64
 }
 
-// observe takes a report in. One that is older than the last is ignored; one
-// from a clock that is ahead counts as of now, or it would shut out others.
+// observe takes in a report. A report older than the last one is ignored. One
+// from a clock that is ahead is dated now; otherwise it would block all later
+// reports until that time.
 func (s *server) observe(r *Report, now int64) {
 	at := min(r.At.UnixNano(), now)
 	if at < s.report.at {
 		return
 	}
 	if s.report.at != 0 {
-		s.judge(r)
+		s.updateTrust(r)
 	}
 	if r.Connections != s.report.connections || s.report.at == 0 {
-		s.report.same = 0
-		s.report.sameOwn = s.own
+		s.report.sameReports = 0
+		s.report.ownAtFirstSame = s.own
 	}
-	s.report.same++
+	s.report.sameReports++
 	s.report.connections = r.Connections
 	s.report.at = at
 	s.report.own = s.own
-	s.report.seen = evidence{}
+	s.report.observed = observations{}
 }
 
-// judge moves the distrust of s by what r says against what was seen.
-func (s *server) judge(r *Report) {
+// updateTrust adjusts the distrust of s by comparing r with what this node
+// observed.
+func (s *server) updateTrust(r *Report) {
 	if s.understated(r) || s.overstated(r) || s.frozen(r) {
 		s.report.distrust += (1 - s.report.distrust) * distrustStep
 		s.report.contradictions++
 		return
 	}
 	// A server that fails openings is tried rarely. Its reports in between
-	// were checked against nothing, so they earn no trust.
+	// can't be checked against anything, so they earn no trust.
 	if s.fails == 0 {
 		s.report.distrust *= 1 - trustStep
 	}
 }
 
-// understated: the server reports fewer flows than this node alone has had
-// on it all the time since the last report, or to be idle while it fails
-// openings. Such a server would draw flows only to refuse them.
+// understated reports whether the server reports fewer flows than this node
+// alone has had on it since the last report, or to be idle while it fails
+// openings. Such a server would attract flows only to refuse them.
 func (s *server) understated(r *Report) bool {
-	least := float64(min(s.own, s.report.own))
-	said := float64(r.Connections)
-	if said < least*(1-reportSlackPart)-reportSlack {
+	minimum := float64(min(s.own, s.report.own))
+	reported := float64(r.Connections)
+	if reported < minimum*(1-reportSlackFraction)-reportSlack {
 		return true
 	}
-	seen := &s.report.seen
-	idle := said <= s.counted()/2 || r.Connections == 0
+	seen := &s.report.observed
+	idle := reported <= s.sharedCount()/2 || r.Connections == 0
 	return idle && seen.refused > seen.accepted
 }
 
-// overstated: the server reports to be full while it accepts at once.
-// Believing it would leave its capacity unused.
+// overstated reports whether the server reports to be full while it accepts
+// flows at once. Believing it would leave its capacity unused.
 func (s *server) overstated(r *Report) bool {
-	seen := &s.report.seen
+	seen := &s.report.observed
 	full := s.connections > 0 && r.Connections >= s.connections
-	return full && seen.quick > 0 && seen.refused == 0 && s.counted() < float64(s.connections)/2
+	return full && seen.quick > 0 && seen.refused == 0 && s.sharedCount() < float64(s.connections)/2
 }
 
-// frozen: the same figure again and again, while the count of this node
-// alone has moved.
+// frozen reports whether the server repeats the same figure although this
+// node's own count has changed.
 func (s *server) frozen(r *Report) bool {
-	if r.Connections != s.report.connections || s.report.same+1 < frozenReports {
+	if r.Connections != s.report.connections || s.report.sameReports+1 < frozenReports {
 		return false
 	}
-	moved := math.Abs(float64(s.own - s.report.sameOwn))
-	return moved > reportSlack
+	change := math.Abs(float64(s.own - s.report.ownAtFirstSame))
+	return change > reportSlack
 }
 
-// believed returns the weight of the last report against the counts, when
-// unheard is the part of the owners that don't share theirs. One that says
-// it is full is left to shut.
-func (s *server) believed(now int64, unheard float64) float64 {
+// reportWeight returns the weight of the last report relative to the shared
+// counts, given the fraction of owners whose counts are missing. A report of a
+// full server has no weight here; closedByReport handles it.
+func (s *server) reportWeight(now int64, missing float64) float64 {
 	age := time.Duration(max(now-s.report.at, 0))
-	if s.report.at == 0 || age >= reportLife || s.saysFull() {
+	if s.report.at == 0 || age >= reportMaxAge || s.reportsFull() {
 		return 0
 	}
 	fresh := math.Exp2(-float64(age) / float64(reportHalfLife))
-	return (1 - s.report.distrust) * fresh * max(reportWeight, unheard)
+	return (1 - s.report.distrust) * fresh * max(minReportWeight, missing)
 }
 
-func (s *server) saysFull() bool {
+func (s *server) reportsFull() bool {
 	return s.connections > 0 && s.report.connections >= s.connections
 }
 
-// shut reports whether the server's own word, as far as it is trusted, is
-// that it is full, and it isn't time to try it all the same.
-func (s *server) shut(now int64) bool {
-	if !s.saysFull() || now >= s.tryShutAt {
+// closedByReport reports whether a recent, trusted report says that the server
+// is full and the next trial isn't due yet.
+func (s *server) closedByReport(now int64) bool {
+	if !s.reportsFull() || now >= s.fullTrialAt {
 		return false
 	}
-	return now-s.report.at < int64(reportLife) && 1-s.report.distrust >= trusted
+	return now-s.report.at < int64(reportMaxAge) && 1-s.report.distrust >= minTrust
 }
--- a/bronzepool/scenario_test.go
+++ b/bronzepool/scenario_test.go
@@ -118,7 +118,7 @@
 		}
 		require.LessOrEqual(t, refused, 20)
 		load := p.Loads()[1]
-		require.Less(t, load.Trust, trusted)
+		require.Less(t, load.Trust, minTrust)
 		require.NotZero(t, load.Contradictions)
 
 		// Mended, it is back with its first accepted trial.
@@ -152,13 +152,13 @@
 		require.True(t, chooses(&p, rnd, full), "one trial")
 		require.False(t, chooses(&p, rnd, full), "spared until the next trial")
 		for range 10 {
-			time.Sleep(shutTrial)
+			time.Sleep(fullTrialInterval)
 			if chooses(&p, rnd, full) {
 				p.Accepted(full, time.Millisecond)
 			}
 			p.Observe(Report{Server: full, Connections: 2000, At: time.Now()})
 		}
-		require.Less(t, p.Loads()[2].Trust, trusted)
+		require.Less(t, p.Loads()[2].Trust, minTrust)
 		placed := place(t, []*Pool{&p}, rnd, 400)
 		require.Greater(t, placed[full], 80)
 	})
--- a/bronzepool/server.go
+++ b/bronzepool/server.go
@@ -7,7 +7,9 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// The back-off of a server that fails openings.
+// The back-off of a server that fails openings doubles from backoffBase, or
+// from backoffSilent after a timeout, at most backoffSteps times and up to
+// backoffMax. Jitter then multiplies it by 0.5 to 1.5.
 const (
 	backoffBase   = 250 * time.Millisecond
 	backoffSilent = 400 * time.Millisecond
@@ -15,7 +17,7 @@
 	backoffSteps  = 8
 )
 
-// server is the state of one backend server; the Pool's lock guards it.
+// server is the state of one backend server, guarded by the Pool's lock.
 // Times are in nanoseconds since the epoch.
 type server struct {
 	id          bronzeflow.ServerID
@@ -25,38 +27,45 @@
 	connections int
 	draining    bool
 
-	// since is when the ramp of a new server began, 0 means it has none.
-	since int64
-	// leavingUntil is until when some source says that it is leaving.
+	// rampStart is when the cold-start ramp began, or 0 if there is none.
+	rampStart int64
+	// leavingUntil is when the mark set by SetLeaving or a report expires.
 	leavingUntil int64
 
-	own    int
-	shared int64
-	base   int64
+	// own is the number of flows that this node owns on the server. peerSum
+	// and ownBaseSum are the sums of peerCount.count and peerCount.ownBase
+	// over all peers.
+	own        int
+	peerSum    int64
+	ownBaseSum int64
 
 	report report
 
-	// debt is how many flows it had more than its part when this node had
-	// placed debtAt flows.
-	debt   float64
-	debtAt uint64
-
-	fails   int
-	silent  bool
-	trying  bool
-	retryAt int64
-	// tryShutAt is when a server that says it is full is tried again.
-	tryShutAt int64
-
-	// What weigh found: the estimated load, the weight, whether it isn't
-	// leaving, and whether it counts in the sums of all.
+	// excess is how many flows beyond its quota the server had been given
+	// when this node had placed excessAt flows.
+	excess   float64
+	excessAt uint64
+
+	// fails counts failed openings since the last accepted one; silent is
+	// set if the last failure was a timeout. trialPending is set while the
+	// outcome of a trial is unknown. The back-off ends at retryAt.
+	fails        int
+	silent       bool
+	trialPending bool
+	retryAt      int64
+	// fullTrialAt is when a server that reports to be full is tried again.
+	fullTrialAt int64
+
+	// Results of the last refresh: the estimated load, the weight, whether
+	// the server is not leaving, and whether it is included in the sums of
+	// the Pool.
 	load    float64
 	weight  float64
 	serving bool
 	inSums  bool
 }
 
-func (s *server) set(b *bronzeconf.BackendServer) {
+func (s *server) setConfig(b *bronzeconf.BackendServer) {
 	s.instance = b.Instance
 	s.zone = b.AvailabilityZone
 	s.slots = b.Slots
@@ -68,28 +77,28 @@
 	return s.draining || now < s.leavingUntil
 }
 
-func (s *server) leave(until int64) {
+func (s *server) extendLeaving(until int64) {
 	s.leavingUntil = max(s.leavingUntil, until)
 }
 
-// accept ends the back-off.
-func (s *server) accept(after time.Duration) {
-	s.report.seen.accepted++
+// noteAccepted ends the back-off.
+func (s *server) noteAccepted(after time.Duration) {
+	s.report.observed.accepted++
 	if after <= quickAccept {
-		s.report.seen.quick++
+		s.report.observed.quick++
 	}
 	s.fails = 0
 	s.retryAt = 0
-	s.trying = false
+	s.trialPending = false
 }
 
-// refuse starts or prolongs the back-off; jitter is in [0,1).
-func (s *server) refuse(now int64, silent bool, jitter float64) {
-	s.report.seen.refused++
-	// Openings that were under way when the first of them failed are not
-	// further evidence. Counted, a moment's refusal of fifty would shut the
-	// server out for as long as one that has failed for minutes.
-	if now < s.retryAt && !s.trying {
+// noteRefused starts or extends the back-off; jitter is in [0,1).
+func (s *server) noteRefused(now int64, silent bool, jitter float64) {
+	s.report.observed.refused++
+	// Openings that were in flight when the first one failed count as the
+	// same failure. Otherwise fifty refusals within a moment would exclude
+	// the server for as long as one that has failed for minutes.
+	if now < s.retryAt && !s.trialPending {
 		return
 	}
 	step := backoffBase
@@ -99,24 +108,25 @@
 	step = min(step<<min(s.fails, backoffSteps), backoffMax)
 	s.fails++
 	s.silent = silent
-	s.trying = false
-	// Owners that met the same refusal must not come back together.
+	s.trialPending = false
+	// Jitter keeps owners that saw the same refusal from retrying together.
 	s.retryAt = now + int64(float64(step)*(0.5+jitter))
 }
 
-// full reports whether s has reached its hard limit.
-func (s *server) full() bool {
+// atCapacity reports whether s has reached its hard limit of connections.
+func (s *server) atCapacity() bool {
 	return s.connections > 0 && s.load+1 > float64(s.connections)
 }
 
-// ramp returns the part of its full share that a new server may have.
+// ramp returns the fraction of its full share that s may have during its cold
+// start, from minRamp to 1.
 func (s *server) ramp(now int64, coldStart time.Duration) float64 {
-	if s.since == 0 || coldStart <= 0 {
+	if s.rampStart == 0 || coldStart <= 0 {
 		return 1
 	}
-	f := float64(now-s.since) / float64(coldStart)
-	return min(max(f, rampFloor), 1)
+	f := float64(now-s.rampStart) / float64(coldStart)
+	return min(max(f, minRamp), 1)
 }
 
-// rampFloor is the share that a new server starts with.
-const rampFloor = 0.05
+// minRamp is the fraction of its full share that a new server starts with.
+const minRamp = 0.05
--- a/bronzepool/trial.go
+++ b/bronzepool/trial.go
@@ -3,33 +3,35 @@
 import "time"
 
 const (
-	// trialEvery is how long the outcome of a trial is waited for.
-	trialEvery = time.Second
-	// trialShare is the part of new flows that may be trials of servers that
-	// failed: half of a retry budget of a tenth, so that trials that fail leave
-	// the other half to the flows that meet a failure first.
+	// trialTimeout is how long to wait for the outcome of a trial before the
+	// next one.
+	trialTimeout = time.Second
+	// trialShare is the fraction of new flows that may be trials of servers
+	// that failed. It is half of a retry budget of 0.1, so that failed trials
+	// leave the other half to flows that meet a new failure.
 	trialShare = 0.05
-	// trialBurst is how many trials can be saved up, so that a service with few
-	// flows tries a server again as soon as its back-off ends.
+	// trialBurst is the number of trials allowed ahead of trialShare, so that
+	// a service with few flows tries a server as soon as its back-off ends.
 	trialBurst = 3
 )
 
-// mayTry reports whether s may have a flow, as far as its failures go. When a
-// third of a pool sheds, the first short back-offs of all its servers end
-// within the same second; a trial of each, and then another, would use up the
-// retry budget, and a caller would be refused although two thirds serve.
-func (p *Pool) mayTry(s *server) bool {
+// trialAllowed reports whether s has no failures or a trial of it is allowed
+// now. When a third of a pool refuses flows, the first short back-offs of all
+// these servers end within the same second. Trying each of them once or twice
+// would use up the retry budget, and callers would be refused although two
+// thirds of the pool serve.
+func (p *Pool) trialAllowed(s *server) bool {
 	return s.fails == 0 || p.trials < trialBurst
 }
 
-// noteTrial counts a flow on s. If s failed, it is a trial: the next is put off
-// until this one's outcome should be known.
-func (p *Pool) noteTrial(s *server, now int64) {
+// countTrial updates the trial budget for a flow on s. If s failed before, the
+// flow is a trial, and the next one waits until its outcome should be known.
+func (p *Pool) countTrial(s *server, now int64) {
 	p.trials = max(p.trials-trialShare, 0)
 	if s.fails > 0 {
 		p.trials++
-		s.retryAt = now + int64(trialEvery)
-		s.trying = true
+		s.retryAt = now + int64(trialTimeout)
+		s.trialPending = true
 	}
-	s.tryShutAt = now + int64(shutTrial)
+	s.fullTrialAt = now + int64(fullTrialInterval)
 }
--- a/bronzepool/weigh.go
+++ b/bronzepool/weigh.go
@@ -7,28 +7,30 @@
 )
 
 const (
-	// minSlack is how many flows over its fair share a server may always
-	// have, so that a service with few flows doesn't have exceptions only.
-	minSlack = 1
-	// tolerance absorbs the rounding of loads.
-	tolerance = 1e-9
-	// weighEvery is how often ramps and the age of reports are brought up to
-	// date. All else that changes loads does so at once.
-	weighEvery = 50 * time.Millisecond
-	// failsOut is how many openings in a row a server fails before it is
-	// left out of the fair share. With its part kept free for it, all that
-	// serve would be over their limit, and nothing would balance them.
-	failsOut = 3
+	// minExcess is how many flows over its fair share a server may always
+	// have. Without it nearly every flow of a small service would be an
+	// exception.
+	minExcess = 1
+	// loadTolerance absorbs rounding errors of loads.
+	loadTolerance = 1e-9
+	// refreshInterval is how often ramps and the age of reports are taken
+	// into account. All other changes of load take effect at once.
+	refreshInterval = 50 * time.Millisecond
+	// excludeAfterFails is the number of consecutive failures after which a
+	// server is excluded from the fair share. If a share were kept for it, all
+	// working servers would be over their limit and no longer be balanced.
+	excludeAfterFails = 3
 )
 
-// weigh brings the loads and weights of all servers up to date, if something
-// may have changed since the last time that weighOne didn't see.
-func (p *Pool) weigh(now int64) {
-	if now >= p.weighedAt && now < p.weighedUntil {
+// refresh recomputes the loads and weights of all servers, unless the results
+// of the last refresh are still valid. updateLoad keeps them up to date in
+// between.
+func (p *Pool) refresh(now int64) {
+	if now >= p.refreshedAt && now < p.validUntil {
 		return
 	}
-	until := now + int64(weighEvery)
-	p.total, p.weight = 0, 0
+	until := now + int64(refreshInterval)
+	p.loadSum, p.weightSum = 0, 0
 	for _, s := range p.servers {
 		s.load = p.estimate(s, now)
 		s.weight = s.ramp(now, p.policy.ColdStart)
@@ -36,91 +38,93 @@
 			s.weight *= float64(s.connections)
 		}
 		s.serving = !s.leaving(now)
-		s.inSums = s.serving && s.fails < failsOut
+		s.inSums = s.serving && s.fails < excludeAfterFails
 		if s.inSums {
-			p.total += s.load
-			p.weight += s.weight
+			p.loadSum += s.load
+			p.weightSum += s.weight
 		}
 		if !s.serving && !s.draining {
 			until = min(until, s.leavingUntil)
 		}
 	}
-	p.weighedAt, p.weighedUntil = now, until
+	p.refreshedAt, p.validUntil = now, until
 }
 
-// weighOne follows a change of this node's own count on s.
-func (p *Pool) weighOne(s *server) {
-	load := p.estimate(s, p.weighedAt)
+// updateLoad updates the load of s after a change of this node's own count.
+func (p *Pool) updateLoad(s *server) {
+	load := p.estimate(s, p.refreshedAt)
 	if s.inSums {
-		p.total += load - s.load
+		p.loadSum += load - s.load
 	}
 	s.load = load
 }
 
-// reweigh makes the next weigh compute everything.
-func (p *Pool) reweigh() {
-	p.weighedUntil = 0
+// invalidate makes the next refresh recompute everything.
+func (p *Pool) invalidate() {
+	p.validUntil = 0
 }
 
-// recount makes the next weigh compute everything if s fails, or no longer
-// fails, often enough to change the sums.
-func (p *Pool) recount(s *server) {
-	if s.inSums != (s.serving && s.fails < failsOut) {
-		p.reweigh()
+// invalidateOnExclusion calls invalidate if the failures of s now exclude it
+// from the sums, or no longer do.
+func (p *Pool) invalidateOnExclusion(s *server) {
+	if s.inSums != (s.serving && s.fails < excludeAfterFails) {
+		p.invalidate()
 	}
 }
 
-// fits reports whether s is under its limit.
+// fits reports whether s serves and stays within its limit with one more flow.
 func (p *Pool) fits(s *server) bool {
-	if !s.serving || p.weight == 0 {
+	if !s.serving || p.weightSum == 0 {
 		return false
 	}
-	share := (p.total + 1) * s.weight / p.weight
-	return s.load+1 <= p.limit(s, share)+tolerance
+	share := (p.loadSum + 1) * s.weight / p.weightSum
+	return s.load+1 <= p.limit(s, share)+loadTolerance
 }
 
-// limit returns how many flows s may have before it is passed over, given its
-// fair share of them.
+// limit returns the most flows that s may have before it is skipped, given its
+// fair share of all flows.
 func (p *Pool) limit(s *server, share float64) float64 {
 	bound := p.policy.ImbalanceBound
 	if bound < 1 {
 		bound = bronzeconf.DefaultImbalanceBound
 	}
-	limit := max(share*bound, share+minSlack)
+	limit := max(share*bound, share+minExcess)
 	if s.slots > 0 && share <= float64(s.slots) {
-		// While there are slots for all flows, none needs to wait for one.
+		// While the slots suffice for all flows, no flow should wait for one.
 		limit = min(limit, float64(s.slots))
 	}
 	return limit
 }
 
 const (
-	// crowdedFactor times its fair part of new flows is what a server may
-	// have for long, exceptions included; crowdedMost bounds the part in a
-	// small pool. crowdedBurst is how many it may have ahead of that.
-	crowdedFactor = 2
-	crowdedMost   = 0.75
-	crowdedBurst  = 3
+	// The quota of a server is quotaFactor times its fair share of new flows,
+	// exceptions included, but at most the fraction maxQuota of them, which
+	// matters in a small pool. quotaBurst is how many flows ahead of that it
+	// may get.
+	quotaFactor = 2
+	maxQuota    = 0.75
+	quotaBurst  = 3
 )
 
-// crowded reports whether s had too much of what this node placed of late.
-func (p *Pool) crowded(s *server) bool {
-	return p.debt(s)+1 > crowdedBurst
+// overQuota reports whether another flow would put s more than quotaBurst over
+// its quota of the flows that this node placed recently.
+func (p *Pool) overQuota(s *server) bool {
+	return p.excess(s)+1 > quotaBurst
 }
 
-// debt returns how many flows s had more than its part, forgetting at the
-// pace at which this node places flows.
-func (p *Pool) debt(s *server) float64 {
-	part := crowdedMost
-	if p.weight > 0 {
-		part = min(crowdedFactor*s.weight/p.weight, crowdedMost)
+// excess returns how many flows s got beyond its quota. It is the level of a
+// leaky bucket that drains by the quota with each flow that this node places.
+func (p *Pool) excess(s *server) float64 {
+	quota := maxQuota
+	if p.weightSum > 0 {
+		quota = min(quotaFactor*s.weight/p.weightSum, maxQuota)
 	}
-	return max(s.debt-part*float64(p.placed-s.debtAt), 0)
+	return max(s.excess-quota*float64(p.placed-s.excessAt), 0)
 }
 
-// notePlaced counts a new flow on s.
-func (p *Pool) notePlaced(s *server) {
-	s.debt = min(p.debt(s)+1, 2*crowdedBurst)
+// countPlaced counts a new flow on s.
+func (p *Pool) countPlaced(s *server) {
+	s.excess = min(p.excess(s)+1, 2*quotaBurst)
 	p.placed++
-	s.debtAt = p.placed
+	s.excessAt = p.placed
 }
