--- a/bronzepool/bench_test.go
+++ b/bronzepool/bench_test.go
@@ -10,8 +10,8 @@
 
 var benchSizes = []int{4, 14, 64, 256}
 
-// newLoadedPool returns one owner's pool of n servers with 100 flows each,
-// of which six other owners have their parts.
+// newLoadedPool returns one owner's pool of n servers with about 100 flows
+// each, of which six other owners hold 14 each.
 func newLoadedPool(n int) *Pool {
 	var p Pool
 	svc := newService(n)
@@ -83,7 +83,8 @@
 	}
 }
 
-// BenchmarkPoolMemory reports the heap of one pool with six other owners.
+// BenchmarkPoolMemory reports the heap for each server of a pool with six other
+// owners.
 func BenchmarkPoolMemory(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint("Servers", n), func(b *testing.B) {
--- a/bronzepool/budget_test.go
+++ b/bronzepool/budget_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestBudgetNeverExceedsShare(t *testing.T) {
+func TestBudgetBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := float64(rapid.IntRange(0, 100).Draw(t, "Percent")) / 100
 		burst := rapid.IntRange(1, 20).Draw(t, "Burst")
@@ -29,11 +29,11 @@
 	})
 }
 
-// A third of the servers sheds. Callers see one refusal in three at the first
-// attempt; each is tried again, and again refused in a third of cases. Left
-// alone, the retries would add half as much load to a pool that is short of
-// it already. The budget holds them at its share of the opens.
-func TestRetryStormStaysInsideBudget(t *testing.T) {
+// A third of the servers refuse flows, so one attempt in three fails, retries
+// included. Unlimited retries would add half as much load again to a pool that
+// is already short of capacity. The budget limits them to its share of the
+// first attempts.
+func TestBudgetRetryStorm(t *testing.T) {
 	const opens, attempts = 9000, 4
 	b := Budget{Share: 0.1}
 	tries, retries := 0, 0
@@ -49,10 +49,10 @@
 		}
 	}
 	require.LessOrEqual(t, retries, opens/10+DefaultBurst)
-	require.GreaterOrEqual(t, retries, opens/10, "the budget is there to be used")
+	require.GreaterOrEqual(t, retries, opens/10, "the budget must be used")
 }
 
-func TestBackoffIsBounded(t *testing.T) {
+func TestBackoffBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		attempt := rapid.IntRange(1, 100).Draw(t, "Attempt")
 		d := Backoff(attempt, 10*time.Millisecond, time.Second)
--- a/bronzepool/example_test.go
+++ b/bronzepool/example_test.go
@@ -34,7 +34,7 @@
 	id, first, ok := p.Choose(key.Hash(), nil, false)
 	fmt.Println(first, ok)
 
-	// The server refused: another one is chosen, and it is an exception.
+	// The server refused: another one is chosen, which is an exception.
 	p.Refused(id, false)
 	other, first, ok := p.Choose(key.Hash(), []bronzeflow.ServerID{id}, false)
 	fmt.Println(other != id, first, ok)
--- a/bronzepool/limits_test.go
+++ b/bronzepool/limits_test.go
@@ -29,7 +29,7 @@
 	require.Equal(t, Admitted, acc.Admit())
 }
 
-func TestRemoveKeepsOpenFlowsCounted(t *testing.T) {
+func TestRemoveServiceOpenFlows(t *testing.T) {
 	svc := &bronzeconf.Service{Customer: "Acme", Name: "web", Limits: bronzeconf.Limits{Open: 1}}
 	a := Admission{Open: 9}
 	old := a.SetService(svc)
@@ -44,7 +44,7 @@
 	require.Empty(t, a.customers)
 }
 
-func TestRateLimitRefills(t *testing.T) {
+func TestRateLimitRefill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var a Admission
 		acc := newAccount(&a, "Acme", "web", bronzeconf.Limits{NewPerSecond: 5})
@@ -58,11 +58,11 @@
 	})
 }
 
-// One brand's callers flood its service with openings that never establish.
-// Callers of other brands must not notice: they arrive when the flood already
-// has all that it can get of the node's half-open flows, and are admitted;
-// as the flood's flows time out, its part goes down to the fair one.
-func TestStormOfOneBrandLeavesRoom(t *testing.T) {
+// One Customer's service is flooded with openings that are never established.
+// Another Customer's callers must still be admitted when the flood has used up
+// all that it can get of the node's half-open flows. As the flood's flows time
+// out, both Customers converge to the fair share.
+func TestAdmissionFairShare(t *testing.T) {
 	a := Admission{HalfOpen: 300}
 	storm := newAccount(&a, "Storm", "web", bronzeconf.Limits{})
 	calm := newAccount(&a, "Calm", "web", bronzeconf.Limits{})
@@ -83,7 +83,7 @@
 	require.InDelta(t, 100, storm.halfOpen, 2)
 }
 
-func TestAdmissionCountsMatchFlows(t *testing.T) {
+func TestAdmissionCounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := Admission{HalfOpen: 20, Open: 40}
 		accounts := []*Account{
@@ -120,7 +120,7 @@
 	})
 }
 
-func TestAdmitDoesNotAllocate(t *testing.T) {
+func TestAdmitAllocs(t *testing.T) {
 	a := Admission{HalfOpen: 10, Open: 10}
 	acc := newAccount(&a, "Acme", "web", bronzeconf.Limits{NewPerSecond: 1 << 30})
 	n := testing.AllocsPerRun(100, func() {
--- a/bronzepool/naive_test.go
+++ b/bronzepool/naive_test.go
@@ -12,7 +12,7 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// naiveOrder sorts the whole pool by score.
+// naiveOrder returns ids sorted by score for hash.
 func naiveOrder(hash uint64, ids []bronzeflow.ServerID) []bronzeflow.ServerID {
 	order := slices.Clone(ids)
 	slices.SortFunc(order, func(a, b bronzeflow.ServerID) int {
@@ -24,25 +24,27 @@
 	return order
 }
 
-// counts is a number of flows by server.
+// counts holds numbers of flows by server.
 type counts map[bronzeflow.ServerID]float64
 
-// word is what another owner said, and what this node had then.
-type word struct{ theirs, mine counts }
+// peerReport holds the counts that a peer reported, and this node's own counts
+// at that time.
+type peerReport struct{ theirs, mine counts }
 
-// naive keeps the history of a Pool in maps and computes each choice anew.
+// naive is a reference model of a Pool. It keeps the Pool's history in maps and
+// computes each choice from scratch.
 type naive struct {
-	pool    Pool
-	svc     *bronzeconf.Service
-	now     time.Time
-	owners  int
-	own     counts
-	words   map[string]word
-	leaving map[bronzeflow.ServerID]time.Time
-	placed  []placement
+	pool        Pool
+	svc         *bronzeconf.Service
+	now         time.Time
+	owners      int
+	own         counts
+	peerReports map[string]peerReport
+	leaving     map[bronzeflow.ServerID]time.Time
+	placed      []placement
 }
 
-// placement is a flow placed, the part of all weight that its server had, and
+// placement is a placed flow, with its server's part of the total weight and
 // whether it was a trial of a server that had failed.
 type placement struct {
 	id    bronzeflow.ServerID
@@ -53,7 +55,7 @@
 func newNaive(svc *bronzeconf.Service) *naive {
 	n := &naive{svc: svc, now: time.Unix(1000, 0), owners: 1}
 	n.own = counts{}
-	n.words = make(map[string]word)
+	n.peerReports = make(map[string]peerReport)
 	n.leaving = make(map[bronzeflow.ServerID]time.Time)
 	n.pool.Now = func() time.Time { return n.now }
 	n.pool.SetService(svc)
@@ -69,18 +71,18 @@
 	name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "Origin")
 	if rapid.IntRange(0, 4).Draw(t, "Forget") == 0 {
 		n.pool.SetOwned(name, nil)
-		delete(n.words, name)
+		delete(n.peerReports, name)
 		return
 	}
-	said := make(map[bronzeflow.ServerID]uint32)
-	w := word{counts{}, counts{}}
+	reported := make(map[bronzeflow.ServerID]uint32)
+	w := peerReport{counts{}, counts{}}
 	for _, id := range ids {
-		said[id] = rapid.Uint32Range(0, 4).Draw(t, "Count")
-		w.theirs[id] = float64(said[id])
+		reported[id] = rapid.Uint32Range(0, 4).Draw(t, "Count")
+		w.theirs[id] = float64(reported[id])
 		w.mine[id] = n.own[id]
 	}
-	n.pool.SetOwned(name, said)
-	n.words[name] = w
+	n.pool.SetOwned(name, reported)
+	n.peerReports[name] = w
 }
 
 func (n *naive) leave(id bronzeflow.ServerID) {
@@ -92,10 +94,10 @@
 	n.now = n.now.Add(time.Duration(ms) * time.Millisecond)
 }
 
-// open compares a choice and checks what no choice may break.
-func (n *naive) open(t *rapid.T, hash uint64, tried []bronzeflow.ServerID, plain bool) {
-	want, wantOK := n.choose(hash, tried, plain)
-	id, first, ok := n.pool.Choose(hash, tried, plain)
+// open compares a choice with the model's and checks the invariants of a choice.
+func (n *naive) open(t *rapid.T, hash uint64, tried []bronzeflow.ServerID, ignoreLoad bool) {
+	want, wantOK := n.choose(hash, tried, ignoreLoad)
+	id, first, ok := n.pool.Choose(hash, tried, ignoreLoad)
 	require.Equal(t, wantOK, ok)
 	if !ok {
 		return
@@ -110,7 +112,7 @@
 	n.placed = append(n.placed, placement{id, n.part(id), n.pool.index[id].fails > 0})
 }
 
-// trials replays all placements.
+// trials returns Pool.trials, computed from all placements.
 func (n *naive) trials() float64 {
 	trials := 0.0
 	for _, pl := range n.placed {
@@ -122,7 +124,8 @@
 	return trials
 }
 
-// part returns the part of the weight of the serving servers that id has.
+// part returns the weight of id as a fraction of the weight of all serving
+// servers.
 func (n *naive) part(id bronzeflow.ServerID) float64 {
 	var own, all float64
 	for _, b := range n.svc.Pool {
@@ -139,33 +142,34 @@
 	return own / all
 }
 
-// debt replays all placements; part is what the server has now.
-func (n *naive) debt(id bronzeflow.ServerID, part float64) float64 {
-	debt, last := 0.0, 0
+// excess returns Pool.excess of id, computed from all placements; part is the
+// server's present part of the total weight.
+func (n *naive) excess(id bronzeflow.ServerID, part float64) float64 {
+	excess, last := 0.0, 0
 	for i, pl := range n.placed {
 		if pl.id != id {
 			continue
 		}
-		debt = max(debt-min(quotaFactor*pl.part, maxQuota)*float64(i-last), 0)
-		debt = min(debt+1, 2*quotaBurst)
+		excess = max(excess-min(quotaFactor*pl.part, maxQuota)*float64(i-last), 0)
+		excess = min(excess+1, 2*quotaBurst)
 		last = i + 1
 	}
-	return max(debt-min(quotaFactor*part, maxQuota)*float64(len(n.placed)-last), 0)
+	return max(excess-min(quotaFactor*part, maxQuota)*float64(len(n.placed)-last), 0)
 }
 
 func (n *naive) total(id bronzeflow.ServerID) float64 {
 	total := n.own[id]
-	unheard := max(n.owners-1-len(n.words), 0)
-	change := float64(unheard) * n.own[id]
-	for _, w := range n.words {
+	missingPeers := max(n.owners-1-len(n.peerReports), 0)
+	change := float64(missingPeers) * n.own[id]
+	for _, w := range n.peerReports {
 		total += w.theirs[id]
 		change += n.own[id] - w.mine[id]
 	}
 	return max(total+change/2, n.own[id])
 }
 
-// choose is the rule as the documentation has it.
-func (n *naive) choose(hash uint64, tried []bronzeflow.ServerID, plain bool) (id bronzeflow.ServerID, ok bool) {
+// choose returns the choice that the Pool should make.
+func (n *naive) choose(hash uint64, tried []bronzeflow.ServerID, ignoreLoad bool) (id bronzeflow.ServerID, ok bool) {
 	loads, weights := counts{}, counts{}
 	all, weight := 1.0, 0.0
 	for _, b := range n.svc.Pool {
@@ -178,7 +182,7 @@
 			}
 		}
 	}
-	var allowed, ready, fit, uncrowded []bronzeflow.ServerID
+	var allowed, ready, fit, underQuota []bronzeflow.ServerID
 	for _, id := range naiveOrder(hash, serverIDs(n.svc)) {
 		if _, serving := loads[id]; !serving || loads[id]+1 > weights[id] || slices.Contains(tried, id) {
 			continue
@@ -196,31 +200,31 @@
 			continue
 		}
 		fit = append(fit, id)
-		if n.debt(id, weights[id]/weight)+1 <= quotaBurst {
-			uncrowded = append(uncrowded, id)
+		if n.excess(id, weights[id]/weight)+1 <= quotaBurst {
+			underQuota = append(underQuota, id)
 		}
 	}
 	top := naiveOrder(hash, serverIDs(n.svc))[0]
 	switch {
 	case len(allowed) == 0:
 		return 0, false
-	case plain:
-		return n.plain(allowed), true
+	case ignoreLoad:
+		return n.chooseIgnoringLoad(allowed), true
 	case slices.Contains(fit, top):
 		return top, true
-	case len(uncrowded) > 0:
-		few := uncrowded[:min(len(uncrowded), exceptionChoices)]
-		return slices.MinFunc(few, func(a, b bronzeflow.ServerID) int {
+	case len(underQuota) > 0:
+		choices := underQuota[:min(len(underQuota), exceptionChoices)]
+		return slices.MinFunc(choices, func(a, b bronzeflow.ServerID) int {
 			return cmp.Compare(loads[a]*weights[b], loads[b]*weights[a])
 		}), true
 	case len(ready) > 0:
 		return ready[0], true
 	default:
-		return n.soonest(allowed), true
+		return n.earliestRetry(allowed), true
 	}
 }
 
-func (n *naive) plain(allowed []bronzeflow.ServerID) bronzeflow.ServerID {
+func (n *naive) chooseIgnoringLoad(allowed []bronzeflow.ServerID) bronzeflow.ServerID {
 	for _, id := range allowed {
 		s := n.pool.index[id]
 		if !s.silent || n.now.UnixNano() >= s.retryAt {
@@ -239,7 +243,7 @@
 	return limit
 }
 
-func (n *naive) soonest(allowed []bronzeflow.ServerID) bronzeflow.ServerID {
+func (n *naive) earliestRetry(allowed []bronzeflow.ServerID) bronzeflow.ServerID {
 	return slices.MinFunc(allowed, func(a, b bronzeflow.ServerID) int {
 		return cmp.Compare(n.pool.index[a].retryAt, n.pool.index[b].retryAt)
 	})
--- a/bronzepool/pool_test.go
+++ b/bronzepool/pool_test.go
@@ -25,7 +25,7 @@
 	})
 }
 
-func TestCandidatesDoesNotAllocate(t *testing.T) {
+func TestCandidatesAllocs(t *testing.T) {
 	var p Pool
 	p.SetService(newService(64))
 	dst := make([]bronzeflow.ServerID, 0, 8)
@@ -33,8 +33,8 @@
 	require.Zero(t, testing.AllocsPerRun(100, func() { p.Choose(42, dst, false) }))
 }
 
-// Random sequences of what a Pool is told, with each choice compared to one
-// that recomputes everything from the history.
+// Applies random sequences of calls to a Pool and compares each choice with that
+// of a model that recomputes everything from the history.
 func TestChooseAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		svc := newService(rapid.IntRange(1, 9).Draw(t, "Servers"))
@@ -77,8 +77,8 @@
 	p.SetService(&smaller)
 	require.Equal(t, 6.0, p.Loads()[0].Total)
 
-	// A server that comes back starts without the counts of before, and
-	// the ends of its old flows don't make it look emptier than empty.
+	// A server that is added again starts without its former counts, and the
+	// ends of its old flows don't make its count negative.
 	p.SetService(svc)
 	p.Ended(c)
 	require.Equal(t, 0.0, p.Loads()[2].Total)
--- a/bronzepool/report_test.go
+++ b/bronzepool/report_test.go
@@ -10,22 +10,22 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// reports gives the pool a series of reports, a second apart, of its first
-// server, on which this node has as many flows as own says at each of them.
-func reports(t *testing.T, own, said []int) ServerLoad {
+// observeReports lets a pool observe a series of reports of its first server, a
+// second apart. At report i this node has own[i] flows on that server.
+func observeReports(t *testing.T, own, reported []int) ServerLoad {
 	svc := newService(2)
 	now := time.Unix(1000, 0)
 	p := Pool{Now: func() time.Time { return now }}
 	p.SetService(svc)
 	id := svc.Pool[0].ID
-	for i := range said {
+	for i := range reported {
 		for p.index[id].own < own[i] {
 			p.Opened(id)
 		}
 		for p.index[id].own > own[i] {
 			p.Ended(id)
 		}
-		p.Observe(Report{Server: id, Connections: said[i], At: now})
+		p.Observe(Report{Server: id, Connections: reported[i], At: now})
 		now = now.Add(time.Second)
 	}
 	l := p.Loads()[0]
@@ -33,30 +33,30 @@
 	return l
 }
 
-func TestReportsThatContradict(t *testing.T) {
+func TestReportContradictions(t *testing.T) {
 	tests := map[string]struct {
-		own, said      []int
+		own, reported  []int
 		contradictions uint64
 	}{
-		"True":             {[]int{10, 20, 30, 20}, []int{70, 140, 210, 140}, 0},
+		"Accurate":         {[]int{10, 20, 30, 20}, []int{70, 140, 210, 140}, 0},
 		"LateByOne":        {[]int{10, 20, 30, 20}, []int{0, 10, 20, 30}, 0},
-		"SameAndQuiet":     {[]int{10, 10, 11, 10, 9}, []int{70, 70, 70, 70, 70}, 0},
-		"SameForEver":      {[]int{10, 20, 30, 20, 10}, []int{70, 70, 70, 70, 70}, 2},
+		"SameWhileSteady":  {[]int{10, 10, 11, 10, 9}, []int{70, 70, 70, 70, 70}, 0},
+		"Frozen":           {[]int{10, 20, 30, 20, 10}, []int{70, 70, 70, 70, 70}, 2},
 		"LessThanOurs":     {[]int{30, 30, 30}, []int{5, 6, 5}, 2},
 		"FirstIsUnchecked": {[]int{30}, []int{5}, 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			l := reports(t, test.own, test.said)
+			l := observeReports(t, test.own, test.reported)
 			require.Equal(t, test.contradictions, l.Contradictions)
 			require.Equal(t, test.contradictions == 0, l.Trust == 1)
 		})
 	}
 }
 
-// A server's clock, or a poller's, is an hour ahead. Its report must not shut
-// out all that come in the next hour.
-func TestReportFromTheFuture(t *testing.T) {
+// The clock of a server or of its poller is an hour ahead. Its report must not
+// block all reports of the next hour.
+func TestReportFutureTime(t *testing.T) {
 	svc := newService(1)
 	now := time.Unix(1000, 0)
 	p := Pool{Now: func() time.Time { return now }}
@@ -70,8 +70,8 @@
 	require.Equal(t, 7, p.Loads()[0].Reported, "older than the last")
 }
 
-// All methods at once, for the race detector; the counts must add up.
-func TestPoolConcurrently(t *testing.T) {
+// Calls the methods concurrently, for the race detector; the counts must add up.
+func TestPoolConcurrent(t *testing.T) {
 	svc := newService(6)
 	var p Pool
 	p.SetService(svc)
--- a/bronzepool/scenario_test.go
+++ b/bronzepool/scenario_test.go
@@ -13,7 +13,7 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// newPools returns the pools of several owners of one service.
+// newPools returns one pool of svc for each of several owners.
 func newPools(svc *bronzeconf.Service, owners int) []*Pool {
 	pools := make([]*Pool, owners)
 	for i := range pools {
@@ -24,7 +24,7 @@
 	return pools
 }
 
-// place opens n flows, each at an owner of its own, and counts them by server.
+// place opens n flows, each at a random owner, and counts them by server.
 func place(t *testing.T, pools []*Pool, rnd *rand.Rand, n int) map[bronzeflow.ServerID]int {
 	placed := make(map[bronzeflow.ServerID]int)
 	for range n {
@@ -37,7 +37,7 @@
 	return placed
 }
 
-// shareAll tells each owner what the others have.
+// shareAll gives each owner the counts of the others.
 func shareAll(pools []*Pool) {
 	for i, from := range pools {
 		owned := make(map[bronzeflow.ServerID]uint32)
@@ -56,11 +56,11 @@
 	}
 }
 
-// One server's report says that it is idle, and it is old: the server has as
-// many flows as the others. Seven owners read it at the same moment, and no
-// news comes while 700 callers arrive. If each owner sent its callers to the
-// idle server, it would end with eight times its load.
-func TestOwnersDoNotHerdOnStaleReport(t *testing.T) {
+// The report of one server is stale: it says idle, but the server has as many
+// flows as the others. Seven owners read it at the same time, and no newer
+// report comes while 700 flows are opened. If each owner sent its flows to the
+// supposedly idle server, it would end up with eight times its load.
+func TestStaleIdleReport(t *testing.T) {
 	for _, shared := range []bool{true, false} {
 		t.Run(fmt.Sprint("Shared", shared), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -89,10 +89,10 @@
 	}
 }
 
-// A broken server reports no load at all and refuses every opening at once,
-// faster than a healthy one serves. Callers must not lose more than a few
-// attempts to it, however long it goes on, and its reports must lose trust.
-func TestServerThatReportsIdleAndRefuses(t *testing.T) {
+// A broken server reports no load and refuses every opening at once, faster than
+// a healthy one serves. However long this lasts, callers must lose only a few
+// attempts to it, and its reports must lose trust.
+func TestServerReportsIdleAndRefuses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		svc := newService(4)
 		broken := svc.Pool[1].ID
@@ -121,14 +121,15 @@
 		require.Less(t, load.Trust, minTrust)
 		require.NotZero(t, load.Contradictions)
 
-		// Mended, it is back with its first accepted trial.
+		// Once repaired, it is back with its first accepted trial.
 		time.Sleep(2 * backoffMax)
 		p.Accepted(broken, time.Millisecond)
 		require.True(t, chooses(&p, rnd, broken))
 	})
 }
 
-// chooses reports whether p chooses the server id now for some flow.
+// chooses reports whether p now chooses the server id for any of 1000 random
+// flows.
 func chooses(p *Pool, rnd *rand.Rand, id bronzeflow.ServerID) bool {
 	for range 1000 {
 		if got, _, _ := p.Choose(rnd.Uint64(), nil, false); got == id {
@@ -138,10 +139,10 @@
 	return false
 }
 
-// A server's endpoint says for ever that all its connections are in use, but
-// it accepts whatever comes. At first it is spared; the trials that it
-// accepts show that the figure is wrong, and it gets its share again.
-func TestServerThatReportsFullAndAccepts(t *testing.T) {
+// A server keeps reporting that all its connections are in use but accepts every
+// flow. At first it gets only trials; as it accepts them, its reports lose trust
+// and it gets its fair share again.
+func TestServerReportsFullAndAccepts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		svc := newService(4)
 		full := svc.Pool[2].ID
@@ -149,8 +150,8 @@
 		p.SetService(svc)
 		rnd := rand.New(rand.NewPCG(5, 6))
 		p.Observe(Report{Server: full, Connections: 2000, At: time.Now()})
-		require.True(t, chooses(&p, rnd, full), "one trial")
-		require.False(t, chooses(&p, rnd, full), "spared until the next trial")
+		require.True(t, chooses(&p, rnd, full), "first trial")
+		require.False(t, chooses(&p, rnd, full), "no flow until the next trial")
 		for range 10 {
 			time.Sleep(fullTrialInterval)
 			if chooses(&p, rnd, full) {
@@ -164,9 +165,9 @@
 	})
 }
 
-// All servers report but one, whose endpoint never answers. Its callers must
-// see no difference: the owners' own counts are enough to spread fairly.
-func TestServerThatReportsNothing(t *testing.T) {
+// One server never reports while all others do. The owners' counts must be
+// enough to give it its fair share.
+func TestServerWithoutReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		svc := newService(4)
 		pools := newPools(svc, 7)
@@ -188,11 +189,11 @@
 	})
 }
 
-// A bad roll-out tells every server of a pool to leave at once, while the
-// record still lists them as serving. New callers are refused early, since a
-// server that leaves gets no new work; when nobody repeats the claim they
-// are served again without anybody's help.
-func TestWholePoolLeavesAtOnce(t *testing.T) {
+// A bad rollout marks every server of a pool as leaving at once, while the
+// record still lists them as serving. New flows are refused at once, since a
+// leaving server gets none. When the marks aren't renewed, they expire and flows
+// are accepted again without intervention.
+func TestWholePoolLeaving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		svc := newService(4)
 		var p Pool
@@ -208,9 +209,9 @@
 			_, _, ok := p.Choose(42, nil, plain)
 			require.False(t, ok)
 		}
-		require.Len(t, p.Candidates(42, 4, nil), 4, "running flows are still found")
+		require.Len(t, p.Candidates(42, 4, nil), 4, "existing flows must still be found")
 
-		// A report to the contrary doesn't bring new work back.
+		// Neither a report without the flag nor a shorter hold ends the mark.
 		time.Sleep(time.Second)
 		p.Observe(Report{Server: svc.Pool[0].ID, At: time.Now()})
 		p.SetLeaving(svc.Pool[1].ID, time.Second)
@@ -223,42 +224,41 @@
 	})
 }
 
-// A third of the pool sheds load: it refuses until it has recovered. Every
-// caller must find a server with few attempts, the servers that shed must
-// be left alone but for trials, and come back when they accept, however the
-// back-offs happen to be spread. Meanwhile the
-// others carry more than a fair share of the whole pool; they must still be
-// held to a fair share of what there is.
-func TestThirdOfPoolSheds(t *testing.T) {
+// A third of the pool refuses flows until it has recovered. However the
+// back-offs are spread, no caller may run out of retry budget, the refusing
+// servers must get trials only, and they must return once they accept.
+// Meanwhile the others carry more than a fair share of the whole pool; they must
+// still share the load evenly among themselves.
+func TestThirdOfPoolRefuses(t *testing.T) {
 	for seed := range uint64(300) {
 		jitter := rand.New(rand.NewPCG(seed, 21))
-		thirdOfPoolSheds(t, jitter.Float64)
+		testThirdOfPoolRefuses(t, jitter.Float64)
 	}
-	// The shortest back-offs of all bring the most trials.
-	thirdOfPoolSheds(t, func() float64 { return 0 })
+	// The shortest back-offs lead to the most trials.
+	testThirdOfPoolRefuses(t, func() float64 { return 0 })
 }
 
-func thirdOfPoolSheds(t *testing.T, jitter func() float64) {
+func testThirdOfPoolRefuses(t *testing.T, jitter func() float64) {
 	synctest.Test(t, func(t *testing.T) {
 		svc := newService(18)
-		sheds := make(map[bronzeflow.ServerID]bool)
+		refusing := make(map[bronzeflow.ServerID]bool)
 		for i := 0; i < 18; i += 3 {
-			sheds[svc.Pool[i].ID] = true
+			refusing[svc.Pool[i].ID] = true
 		}
 		p := Pool{Jitter: jitter}
 		p.SetService(svc)
 		b := Budget{Share: 0.1}
 		rnd := rand.New(rand.NewPCG(9, 10))
-		given := 0
+		givenUp := 0
 		for range 1800 {
 			time.Sleep(10 * time.Millisecond)
 			b.CountOpen()
 			var tried []bronzeflow.ServerID
 			id, _, ok := p.Choose(rnd.Uint64(), tried, false)
-			for ok && sheds[id] {
+			for ok && refusing[id] {
 				p.Refused(id, false)
 				if !b.TryRetry() {
-					given++
+					givenUp++
 					break
 				}
 				tried = append(tried, id)
@@ -267,28 +267,28 @@
 			require.True(t, ok)
 			p.Opened(id)
 		}
-		require.Zero(t, given, "callers refused for the budget")
+		require.Zero(t, givenUp, "callers refused because the budget was used up")
 		for _, l := range p.Loads() {
-			if !sheds[l.Server] {
-				require.InEpsilon(t, 150, l.Own, 0.06, "those that serve share alike")
+			if !refusing[l.Server] {
+				require.InEpsilon(t, 150, l.Own, 0.06, "serving servers must share evenly")
 			}
 		}
 		for _, b := range svc.Pool {
-			if !sheds[b.ID] {
+			if !refusing[b.ID] {
 				continue
 			}
 			time.Sleep(2 * backoffMax)
-			require.True(t, chooses(&p, rnd, b.ID), "a trial")
+			require.True(t, chooses(&p, rnd, b.ID), "no trial")
 			p.Accepted(b.ID, time.Millisecond)
 			require.True(t, chooses(&p, rnd, b.ID))
 		}
 	})
 }
 
-// Fifty callers are on their way to a server when it sheds load for a moment:
-// all fifty are refused within a millisecond. The server is well again at
-// once, and must be back after the first step of the back-off.
-func TestOneIncidentIsOneFailure(t *testing.T) {
+// Fifty openings are in flight to a server when it refuses flows for a moment,
+// and all fifty are refused. The server recovers at once and must be back after
+// the first step of the back-off.
+func TestConcurrentRefusalsCountOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		svc := newService(2)
 		id := svc.Pool[0].ID
@@ -302,16 +302,16 @@
 		time.Sleep(2 * backoffBase)
 		require.True(t, chooses(&p, rnd, id))
 
-		// A trial that fails is another failure.
+		// A failed trial counts as another failure.
 		p.Refused(id, false)
 		time.Sleep(backoffBase)
 		require.False(t, chooses(&p, rnd, id))
 	})
 }
 
-// A server joins a pool whose others hold long flows, so it alone is under
-// the bound. Its caches are cold: given all new callers at once it would
-// refuse them. It must get a growing share, and never most of them.
+// A server joins a pool whose other servers hold long-lived flows, so it alone
+// is under the bound. Its caches are cold: given all new flows at once, it would
+// refuse them. Its share must grow gradually and never be most of the new flows.
 func TestColdStartRamp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		svc := newService(5)
@@ -339,10 +339,10 @@
 }
 
 // A server restarts: its flows end at once, and it comes back as the same
-// instance. All others hold long flows and are over the bound now, as the
-// mean has fallen. It must not get all new callers: what ended its flows may
-// not be over, and every one of them would be an exception.
-func TestEmptiedServerIsFilledSlowly(t *testing.T) {
+// instance. All others hold long-lived flows and are now over the bound, as the
+// mean has fallen. The server must not get all new flows: the cause of the
+// restart may persist, and nearly all of them would be exceptions.
+func TestRestartedServerFillRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		svc := newService(14)
 		pools := newPools(svc, 7)
@@ -367,12 +367,11 @@
 	})
 }
 
-// A partition cuts a zone's balancers off from most of the pool. The servers
-// behind the cut don't answer, and every opening that goes there costs its
-// caller a timeout. After one timeout for each, callers must go to servers
-// that answer, also while owners choose whatever the load; when the
-// partition heals, a trial brings each server back.
-func TestSilentServersArePassedOver(t *testing.T) {
+// A partition separates a balancer from most of the pool. Every opening sent to
+// an unreachable server costs its caller a timeout. Between trials, flows must
+// go to servers that answer, also while load is ignored. When the partition
+// heals, an accepted flow must bring each server back.
+func TestSilentServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		svc := newService(8)
 		var p Pool
@@ -390,7 +389,7 @@
 				p.Refused(id, true)
 			}
 		}
-		require.LessOrEqual(t, timeouts, 6*6, "at most six in ten seconds for each server")
+		require.LessOrEqual(t, timeouts, 6*6, "at most six in ten seconds per unreachable server")
 		time.Sleep(2 * backoffMax)
 		for id := range cut {
 			p.Accepted(id, time.Millisecond)
@@ -399,10 +398,10 @@
 	})
 }
 
-// A flow's first candidate is over its bound and the others are loaded alike:
-// its owner takes one in its own zone. When those have two flows more than
-// the rest, the caller gets the better served one in the other zone.
-func TestOwnZoneFirstAmongEquals(t *testing.T) {
+// The first candidate of a flow is over its bound. While the other servers are
+// equally loaded, the owner chooses one in its own zone. When these have two
+// flows more than the other zone's server, it chooses that one.
+func TestChoosePrefersOwnZone(t *testing.T) {
 	svc := newService(4)
 	for i := range svc.Pool {
 		svc.Pool[i].AvailabilityZone = fmt.Sprint("zone-", i%2)
--- a/bronzepool/unshared_test.go
+++ b/bronzepool/unshared_test.go
@@ -9,11 +9,11 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// The fleet is too large to share counts. This node sees a few of the flows
-// on each server; taken for a picture of all, they would send most new flows
-// off their first candidates. Flows go to the first candidate, and pass over
-// a server that refuses and one that is leaving.
-func TestUnsharedPoolGoesByTheHash(t *testing.T) {
+// The fleet is too large to share counts. This node knows few of the flows on
+// each server; treating these as the whole load would move most new flows off
+// their first candidates. Flows must go to the first candidate and skip only a
+// server that refuses and one that is leaving.
+func TestChooseWithoutSharedCounts(t *testing.T) {
 	var p Pool
 	p.SetService(newService(16))
 	p.SetOwners(490)
