--- a/bronzeflow/doc.go
+++ b/bronzeflow/doc.go
@@ -1,21 +1,22 @@
-// Package bronzeflow names flows and remembers them: the keys and hashes by
-// which all balancers know a flow, the kinds of packets that the decisions
-// tell apart, and a Table of what one balancer knows of its flows.
+// Package bronzeflow defines the keys and hashes that identify flows on all
+// balancers, the kinds of packets that the balancing logic distinguishes, and
+// the Table in which a balancer keeps the state of its flows.
 //
-// A Key has the caller's and the service's endpoints and nothing of a
-// transport header, so the decisions can be driven by real packets or by any
-// other source. Hash and Mix give the same numbers in every process, because
-// balancers agree on owners and candidates by computing them alike.
+// A Key holds the caller's and the service's endpoints and nothing else of a
+// transport header, so the balancing logic can be driven by real packets or by
+// any other source. Hash and Mix return the same numbers in every process,
+// since balancers agree on owners and candidates by computing them alike.
 //
-// A Table is divided into Shards, each under its own lock, so that workers on
-// different flows rarely meet. Its entries hold no pointers. It is bounded:
-// when it is full, openings and forgotten flows give way first, and a flow
-// that this balancer owns and that is established never does.
+// A Table is divided into Shards parts, each with its own lock, so that workers
+// on different flows rarely contend. Its entries hold no pointers. Its size is
+// bounded: when it is full, pending entries are evicted first, then closed ones,
+// then those of flows that this balancer doesn't own. An established flow that
+// it owns is never evicted.
 //
 // # Usage
 //
-// The zero Table works; the hash of a key is computed once for each packet
-// and serves all calls:
+// The zero Table is ready to use. The hash of a key is computed once for each
+// packet and passed to all calls:
 //
 //	var t bronzeflow.Table
 //	k := bronzeflow.NewKey(bronzeflow.TCP, caller, service)
@@ -32,6 +33,7 @@
 //		Flags:  bronzeflow.Owned,
 //	})
 //
-// Expiry is the caller's: RangeShard goes over one shard and deletes what its
-// function doesn't keep, so that a tick costs a small part of the table.
+// The table doesn't expire entries by itself. The caller does so with
+// RangeShard, which visits one shard and deletes the entries that its function
+// doesn't keep, so that each call costs a small part of the table.
 package bronzeflow
--- a/bronzeflow/evict.go
+++ b/bronzeflow/evict.go
@@ -1,18 +1,19 @@
 package bronzeflow
 
-// class says how much the loss of an entry harms.
+// class ranks an entry by the harm that its loss does.
 type class uint8
 
-// The classes of entries, in the order in which they are evicted.
+// The classes of entries, in the order of eviction. evictableClasses is the
+// number of those that can be evicted.
 const (
 	classPending class = iota
 	classClosed
 	classLearned
-	// classKept is the class of entries that must stay: Owned ones that are
-	// Established. Without its entry such a flow breaks.
-	classKept
+	// classProtected holds the entries that are never evicted: those that are
+	// Owned and Established, whose flows would break without them.
+	classProtected
 
-	classes = int(classKept)
+	evictableClasses = int(classProtected)
 )
 
 func classOf(e *Entry) class {
@@ -24,36 +25,38 @@
 	case e.Flags&Owned == 0:
 		return classLearned
 	default:
-		return classKept
+		return classProtected
 	}
 }
 
 // evictionSample is how many entries of a class are compared for an eviction.
-// A flood of openings evicts at its own rate; a search of the whole shard
-// for the least recently used would let it take all of the processor.
+// A flood of openings causes evictions at its own rate, and searching the whole
+// shard for the least recently used entry each time would use up the processor.
 const evictionSample = 16
 
-// ring is a circular list of the slots of one class. hand is its oldest slot
-// or the one where the last search stopped, plus one; 0 if the ring is empty.
+// ring is a circular list of the slots of one class. hand is the slot where the
+// next search starts, plus one: initially the oldest, later the one after the
+// last search. It is 0 if the ring is empty.
 type ring struct {
 	hand int32
 }
 
-// reclassify moves slot i to the ring that its entry now belongs to.
+// reclassify moves slot i to the ring of its entry's present class.
 func (s *shard) reclassify(i int32) {
 	p := s.at(i)
 	c := classOf(&p.entry)
 	if c == p.class {
 		return
 	}
-	s.leave(i)
+	s.removeFromRing(i)
 	p.class = c
-	s.join(i, c)
+	s.addToRing(i, c)
 }
 
-// join adds slot i to the ring of c, as the newest.
-func (s *shard) join(i int32, c class) {
-	if c == classKept {
+// addToRing adds slot i to the ring of c, as the newest. Protected entries are
+// in no ring.
+func (s *shard) addToRing(i int32, c class) {
+	if c == classProtected {
 		return
 	}
 	r := &s.rings[c]
@@ -70,10 +73,10 @@
 	h.older = i
 }
 
-// leave takes slot i out of the ring of its class.
-func (s *shard) leave(i int32) {
+// removeFromRing removes slot i from the ring of its class.
+func (s *shard) removeFromRing(i int32) {
 	c := s.at(i).class
-	if c == classKept {
+	if c == classProtected {
 		return
 	}
 	r := &s.rings[c]
@@ -89,19 +92,19 @@
 	s.link(l.newer).older = l.older
 }
 
-// victim returns the slot to evict, or none.
+// victim returns the slot to evict, or noSlot.
 func (s *shard) victim() int32 {
 	for c := range s.rings {
 		if s.rings[c].hand != 0 {
-			return s.leastUsed(&s.rings[c])
+			return s.leastRecentlyUsed(&s.rings[c])
 		}
 	}
-	return none
+	return noSlot
 }
 
-// leastUsed returns the least recently used of the next few slots of r, which
-// isn't empty, and leaves the hand behind them.
-func (s *shard) leastUsed(r *ring) int32 {
+// leastRecentlyUsed returns the least recently used of the next evictionSample
+// slots of r, which must not be empty, and moves the hand past them.
+func (s *shard) leastRecentlyUsed(r *ring) int32 {
 	first := r.hand - 1
 	best := first
 	i := first
--- a/bronzeflow/example_test.go
+++ b/bronzeflow/example_test.go
@@ -24,7 +24,7 @@
 	e, ok := t.Touch(&k, hash, 60)
 	fmt.Println(ok, e.State == bronzeflow.Established, e.Used)
 
-	// Nothing came for ten minutes: the flow expires.
+	// No packet came for ten minutes: the flow expires.
 	t.Range(func(_ *bronzeflow.Key, e bronzeflow.Entry) bool { return e.Used+600 > 660 })
 	fmt.Println(t.Len())
 	// Output:
--- a/bronzeflow/key.go
+++ b/bronzeflow/key.go
@@ -17,7 +17,7 @@
 	UDP Protocol = 17
 )
 
-// String returns the name that records use for the protocol.
+// String returns the protocol's name as in configuration records, or "Unknown".
 func (p Protocol) String() string {
 	switch p {
 	case TCP:
@@ -29,10 +29,10 @@
 	}
 }
 
-// Key identifies a flow by the caller's and the service's endpoints. It holds
-// no pointers, so a large table of keys costs the garbage collector nothing.
-// IPv4 addresses are held in their IPv4-mapped IPv6 form. Both directions of
-// a flow have the same Key.
+// Key identifies a flow by the caller's and the service's endpoints. Both
+// directions of a flow have the same Key. IPv4 addresses are in their
+// IPv4-mapped IPv6 form. A Key holds no pointers, so the garbage collector
+// doesn't scan a large table of keys.
 type Key struct {
 	Caller      [16]byte
 	Service     [16]byte
@@ -52,20 +52,20 @@
 	}
 }
 
-// CallerAddrPort returns the caller's endpoint, IPv4 addresses unmapped.
+// CallerAddrPort returns the caller's endpoint, with IPv4 addresses unmapped.
 func (k Key) CallerAddrPort() netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom16(k.Caller).Unmap(), k.CallerPort)
 }
 
-// ServiceAddrPort returns the service's endpoint, IPv4 addresses unmapped.
+// ServiceAddrPort returns the service's endpoint, with IPv4 addresses unmapped.
 func (k Key) ServiceAddrPort() netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom16(k.Service).Unmap(), k.ServicePort)
 }
 
-// keyBytes is the length of the fixed form of a Key.
+// keyBytes is the length of the binary form of a Key.
 const keyBytes = 37
 
-// append appends the fixed form of k, which is hashed and sent to peers.
+// append appends the binary form of k, which is hashed and sent to peers.
 func (k *Key) append(b []byte) []byte {
 	b = append(b, k.Caller[:]...)
 	b = append(b, k.Service[:]...)
@@ -74,13 +74,13 @@
 	return append(b, byte(k.Protocol))
 }
 
-// MarshalBinary returns k in 37 bytes. It never fails.
+// MarshalBinary returns the 37-byte binary form of k. It never fails.
 func (k Key) MarshalBinary() (b []byte, err error) {
 	return k.append(make([]byte, 0, keyBytes)), nil
 }
 
-// UnmarshalBinary sets k from what MarshalBinary returned. It returns
-// ErrKeyLength if b has another length.
+// UnmarshalBinary sets k from the form that MarshalBinary returns. It returns
+// ErrKeyLength if b is not 37 bytes.
 func (k *Key) UnmarshalBinary(b []byte) (err error) {
 	if len(b) != keyBytes {
 		return ErrKeyLength
@@ -96,19 +96,19 @@
 // ErrKeyLength is returned for a binary form of a Key that is not 37 bytes.
 var ErrKeyLength = errors.New("flow key has not 37 bytes")
 
-// Hash returns a 64-bit hash of k that is the same in every process and
-// every release: ownership and candidate order are computed from it.
+// Hash returns a 64-bit hash of k. It is the same in every process and every
+// release, since owners and the order of candidates are computed from it.
 func (k *Key) Hash() uint64 {
 	var b [keyBytes]byte
 	return xxhash.Sum64(k.append(b[:0]))
 }
 
-// ServerID identifies one instance of a BackendServer in the whole fleet. It
-// is derived from the instance's name, never from its address, because an
-// address may later belong to another Customer.
+// ServerID identifies one instance of a BackendServer in the whole fleet. It is
+// derived from the Customer and the instance's name, never from an address,
+// since an address may later belong to another Customer.
 type ServerID uint64
 
-// NewServerID returns the identifier of a Customer's instance. It is never 0.
+// NewServerID returns the ID of a Customer's instance. It is never 0.
 func NewServerID(customer, instance string) ServerID {
 	id := ServerID(xxhash.Sum64String(customer + "/" + instance))
 	if id == 0 {
@@ -118,7 +118,7 @@
 }
 
 // Mix combines a flow's hash with another hash into a score for rendezvous
-// hashing. Every node must compute the same score, so it is fixed for ever.
+// hashing. All nodes must compute the same score, so it must never change.
 func Mix(a, b uint64) uint64 {
 	x := a ^ (b * 0x9e3779b97f4a7c15)
 	x ^= x >> 32
--- a/bronzeflow/key_test.go
+++ b/bronzeflow/key_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// Old and new balancers run side by side during a rollout and must name the
-// same owner for a flow, so these numbers may never change.
-func TestHashesAreFixedForEver(t *testing.T) {
+// Old and new versions run side by side during a rollout and must compute the
+// same owner of a flow, so these numbers must never change.
+func TestHashStability(t *testing.T) {
 	caller := netip.MustParseAddrPort("198.51.100.7:40000")
 	service := netip.MustParseAddrPort("192.0.2.10:443")
 	k := NewKey(TCP, caller, service)
@@ -19,7 +19,7 @@
 	require.Equal(t, ServerID(0x4bc6f3b722a117eb), NewServerID("agency", "map-live-3"))
 }
 
-func TestKeyHoldsBothEnds(t *testing.T) {
+func TestKeyEndpoints(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string) netip.AddrPort {
 			b := rapid.SliceOfN(rapid.Byte(), 16, 16).Draw(t, name)
--- a/bronzeflow/packet.go
+++ b/bronzeflow/packet.go
@@ -1,15 +1,15 @@
 package bronzeflow
 
-// Kind says what a packet means for its flow. It is all that the decisions
-// need to know of a transport protocol's header.
+// Kind is what a packet means for its flow, independent of the transport
+// protocol.
 type Kind uint8
 
 // The kinds of packets. Open, Datagram and Reset come from callers only;
 // Accept and Refuse from backend servers only; Data and Close from both.
 const (
-	// Invalid is the zero Kind; a packet of it is dropped and counted.
+	// Invalid is the zero Kind; such packets are dropped and counted.
 	Invalid Kind = iota
-	// Open asks for a new flow: a TCP SYN. Payload in it counts as a request.
+	// Open requests a new flow: a TCP SYN. Payload in it counts as a request.
 	Open
 	// Data belongs to an established flow and never creates one.
 	Data
@@ -34,28 +34,28 @@
 	return "Invalid"
 }
 
-// AlreadyForwarded marks, in Hops, the copy of a packet that ends a flow: it has been
-// forwarded, and the flow's owner shall only take note of it.
+// AlreadyForwarded is a bit of Hops that marks a copy of a packet that ends a
+// flow. The packet itself was forwarded; the flow's owner only updates its state.
 const AlreadyForwarded uint8 = 0x80
 
-// Packet is one packet of a flow as the decisions see it.
+// Packet is one packet of a flow, as the balancing logic sees it.
 type Packet struct {
 	Key  Key
 	Kind Kind
-	// Payload is the number of bytes of request or answer it carries.
+	// Payload is the number of payload bytes.
 	Payload int
-	// Echo ties a caller's packet to one server's connection. An Accept
-	// carries a value of the server's choice (TCP: its initial sequence
-	// number plus one), which the caller's first packets afterwards carry
-	// back (TCP: the acknowledgement number). 0 means not known.
+	// Echo ties a caller's packet to the connection of one server. An Accept
+	// carries a value chosen by the server (TCP: its initial sequence number
+	// plus one), and the caller's first packets after it return that value
+	// (TCP: the acknowledgement number). 0 means unknown.
 	Echo uint32
-	// Sequence numbers a caller's pieces of payload (TCP: the sequence
-	// number): a piece that is sent again has the same. 0 means not known.
+	// Sequence identifies a segment of a caller's payload (TCP: the sequence
+	// number); a retransmission has the same one. 0 means unknown.
 	Sequence uint32
-	// Hops counts the balancers that relayed the packet so far. The bit
-	// AlreadyForwarded is set on a copy that its sender has forwarded already.
+	// Hops counts the balancers that have relayed the packet. The bit
+	// AlreadyForwarded is set on a copy of a packet that was forwarded.
 	Hops uint8
-	// Raw is the packet as it was on the wire. The decisions never read it;
-	// they may keep a copy of an Open's.
+	// Raw is the packet as received. The balancing logic never reads it, but
+	// may keep a copy of that of an Open.
 	Raw []byte
 }
--- a/bronzeflow/shard.go
+++ b/bronzeflow/shard.go
@@ -6,7 +6,7 @@
 	"unsafe"
 )
 
-// A block is what a shard's slots grow by.
+// A shard's slots are allocated in blocks of blockLen.
 const (
 	blockShift = 7
 	blockLen   = 1 << blockShift
@@ -14,62 +14,64 @@
 )
 
 const (
-	// firstRefs is the length of a shard's first index; a power of two, as
-	// all later ones.
-	firstRefs = 8
-	// An index is doubled when more than maxLoad in maxLoadOf is in use.
-	maxLoad   = 3
-	maxLoadOf = 4
+	// initialIndexLen is the length of a shard's first index. The length is
+	// always a power of two.
+	initialIndexLen = 8
+	// The index is doubled when maxLoadNum/maxLoadDen of it is in use.
+	maxLoadNum = 3
+	maxLoadDen = 4
 )
 
-// none is the number of no slot.
-const none int32 = -1
+// noSlot is the slot number returned if there is no slot.
+const noSlot int32 = -1
 
-// A shard's lock must not share a cache line with another shard's, or
-// processors that work on different shards slow each other down. Processors
-// fetch lines in pairs.
-const cacheLines = 128
+// cacheLinePair is the size of two cache lines, which processors fetch in
+// pairs. If the locks of two shards shared a pair, processors that work on
+// different shards would slow each other down.
+const cacheLinePair = 128
 
-// paddedShard fills whole pairs of cache lines.
+// paddedShard is a shard padded to whole pairs of cache lines.
 type paddedShard struct {
 	shard
-	_ [cacheLines - unsafe.Sizeof(shard{})%cacheLines]byte
+	_ [cacheLinePair - unsafe.Sizeof(shard{})%cacheLinePair]byte
 }
 
-// shard is a hash table with linear probing: an index of small refs, and
-// slots that never move. A hit reads one line of the index and one slot.
+// shard is a hash table with linear probing. It has an index of small refs and
+// slots that never move, so that a hit usually reads one cache line of the index
+// and one slot.
 type shard struct {
 	mu sync.Mutex
-	// seed varies the index between processes: who chooses the ports and
-	// addresses of flows can't choose them so that all meet in one place.
+	// seed makes the index differ between processes, so that nobody can choose
+	// addresses and ports of flows that all collide.
 	seed   uint64
 	index  []ref
 	blocks []*block
-	// used is how many slots were ever in use, live how many are now.
+	// used is the number of slots that have ever been in use, live the number
+	// in use now.
 	used, live int32
-	// free is the first slot of the free list, plus one.
+	// free is the first slot of the free list plus one, or 0.
 	free int32
-	// rings hold the slots that may be evicted, by class.
-	rings [classes]ring
+	// rings hold the slots that can be evicted, by class.
+	rings [evictableClasses]ring
 }
 
-// ref is a place in the index. Its home is the low bits of tag.
+// ref is an element of the index. Its probing starts at the low bits of tag.
 type ref struct {
-	// tag is part of the seeded hash. It spares most reads of slots, and
-	// all of them when the index grows.
+	// tag is part of the seeded hash. Comparing it avoids most reads of
+	// slots, and growing the index reads none.
 	tag uint32
-	// slot is the slot's number plus one, 0 if the place is empty.
+	// slot is the slot's number plus one, or 0 if the element is empty.
 	slot int32
 }
 
-// block keeps what every packet reads, the slots, apart from what only
-// insertions and removals need.
+// block keeps the slots, which every packet reads, apart from the links, which
+// only insertions, removals and changes of class need.
 type block struct {
 	slots [blockLen]slot
 	links [blockLen]link
 }
 
-// slot is the place of one entry. It fills a cache line.
+// slot holds one entry. It fills a cache line.
 type slot struct {
 	entry Entry
 	key   Key
@@ -77,11 +79,12 @@
 	live  bool
 }
 
-// link holds the neighbours of a slot in the ring of its class.
+// link holds the tag of a slot and its neighbors in the ring of its class.
 type link struct {
 	tag   uint32
 	older int32
-	// newer is, for a slot in the free list, the next one plus one.
+	// newer is, for a slot in the free list, the next free slot plus one, or
+	// 0.
 	newer int32
 }
 
@@ -99,14 +102,14 @@
 
 func (s *shard) find(k *Key, hash uint64) int32 {
 	if len(s.index) == 0 {
-		return none
+		return noSlot
 	}
 	tag := s.tag(hash)
 	mask := uint32(len(s.index) - 1)
 	for j := tag & mask; ; j = (j + 1) & mask {
 		r := s.index[j]
 		if r.slot == 0 {
-			return none
+			return noSlot
 		}
 		if r.tag == tag && s.at(r.slot-1).key == *k {
 			return r.slot - 1
@@ -114,9 +117,9 @@
 	}
 }
 
-// insert adds an entry whose key isn't there.
+// insert adds an entry whose key isn't in the shard.
 func (s *shard) insert(k *Key, hash uint64, e Entry) {
-	if int(s.live)*maxLoadOf >= len(s.index)*maxLoad {
+	if int(s.live)*maxLoadDen >= len(s.index)*maxLoadNum {
 		s.grow()
 	}
 	i := s.allocate()
@@ -124,13 +127,13 @@
 	*s.at(i) = slot{entry: e, key: *k, class: c, live: true}
 	tag := s.tag(hash)
 	s.link(i).tag = tag
-	s.place(ref{tag: tag, slot: i + 1})
+	s.insertRef(ref{tag: tag, slot: i + 1})
 	s.live++
-	s.join(i, c)
+	s.addToRing(i, c)
 }
 
-// place puts r in the first empty place from its home on.
-func (s *shard) place(r ref) {
+// insertRef puts r into the first empty element of its probe sequence.
+func (s *shard) insertRef(r ref) {
 	mask := uint32(len(s.index) - 1)
 	j := r.tag & mask
 	for s.index[j].slot != 0 {
@@ -155,17 +158,17 @@
 
 // remove frees slot i, which is live.
 func (s *shard) remove(i int32) {
-	s.leave(i)
-	s.displace(i)
+	s.removeFromRing(i)
+	s.removeRef(i)
 	*s.at(i) = slot{}
 	*s.link(i) = link{newer: s.free}
 	s.free = i + 1
 	s.live--
 }
 
-// displace takes slot i out of the index, and moves the refs behind it
-// forward where a search would otherwise stop at the gap.
-func (s *shard) displace(i int32) {
+// removeRef removes slot i from the index, and moves later refs into the gap
+// where a search for them would otherwise stop at it.
+func (s *shard) removeRef(i int32) {
 	mask := uint32(len(s.index) - 1)
 	gap := s.link(i).tag & mask
 	for s.index[gap].slot != i+1 {
@@ -186,10 +189,10 @@
 	if len(old) == 0 {
 		s.seed = rand.Uint64()
 	}
-	s.index = make([]ref, max(firstRefs, 2*len(old)))
+	s.index = make([]ref, max(initialIndexLen, 2*len(old)))
 	for _, r := range old {
 		if r.slot != 0 {
-			s.place(r)
+			s.insertRef(r)
 		}
 	}
 }
--- a/bronzeflow/table_bench_test.go
+++ b/bronzeflow/table_bench_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// BenchmarkPutFull measures an opening into a full table.
+// BenchmarkPutFull measures the insertion of a pending entry into a full table.
 func BenchmarkPutFull(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprintf("Flows=%d", n), func(b *testing.B) {
@@ -78,7 +78,7 @@
 	}
 }
 
-// BenchmarkMemory reports what the heap grows by for each flow.
+// BenchmarkMemory reports the heap growth for each flow and in total.
 func BenchmarkMemory(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprintf("Flows=%d", n), func(b *testing.B) {
--- a/bronzeflow/table_test.go
+++ b/bronzeflow/table_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// testKey returns the i-th of many different keys.
+// testKey returns a key that is unique for i.
 func testKey(i int) Key {
 	caller := netip.AddrFrom4([4]byte{10, byte(i >> 24), byte(i >> 16), byte(i >> 8)})
 	service := netip.MustParseAddrPort("192.0.2.1:443")
@@ -26,8 +26,8 @@
 	}
 }
 
-// Every method does to the table what it does to a plain map. Few hashes, of
-// two shards, force long chains and the reuse of slots.
+// Compares every method with the same operation on a plain map. Using only three
+// hashes, in two shards, forces long probe sequences and the reuse of slots.
 func TestTableAgainstMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table Table
@@ -100,11 +100,11 @@
 	})
 }
 
-// A storm of openings fills the table. Callers of established flows must
-// notice nothing: their entries stay, and each opening takes the place of an
-// opening, then of a closed flow, then of the learned mapping that was idle
-// for longest. The naive version looks through all entries of one shard.
-func TestTableEvictsLeastHarm(t *testing.T) {
+// A flood of openings fills the table. The entries of established flows must
+// stay: each insertion evicts a pending entry, else a closed one, else the
+// learned one that was idle for longest. The naive version looks through all
+// entries of one shard.
+func TestTableEvictionOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var evicted []Entry
 		table := Table{Capacity: rapid.IntRange(1, evictionSample).Draw(t, "Capacity")}
@@ -117,10 +117,10 @@
 		for i := range rapid.IntRange(1, 60).Draw(t, "n") {
 			k := testKey(i)
 			e := drawEntry(t)
-			want, full := naiveRank(model), len(model) == table.Capacity
+			want, full := naiveLowestRank(model), len(model) == table.Capacity
 			evicted = nil
 			ok := table.Put(&k, uint64(i), e)
-			require.Equal(t, !full || want < naiveKept, ok)
+			require.Equal(t, !full || want < naiveProtected, ok)
 			if ok {
 				model[k] = e
 			}
@@ -146,7 +146,7 @@
 	})
 }
 
-const naiveKept = 1000
+const naiveProtected = 1000
 
 func naiveRankOf(e Entry) int {
 	switch {
@@ -157,19 +157,19 @@
 	case e.Flags&Owned == 0:
 		return 200 + int(e.Used)
 	default:
-		return naiveKept
+		return naiveProtected
 	}
 }
 
-func naiveRank(m map[Key]Entry) int {
-	best := naiveKept
+func naiveLowestRank(m map[Key]Entry) int {
+	best := naiveProtected
 	for _, e := range m {
 		best = min(best, naiveRankOf(e))
 	}
 	return best
 }
 
-func TestTableCallsEvictedUnlocked(t *testing.T) {
+func TestTableOnEvictUnlocked(t *testing.T) {
 	table := Table{Capacity: 1}
 	calls := 0
 	table.OnEvict = func(k Key, _ Entry) {
@@ -184,8 +184,8 @@
 	require.Equal(t, 2, calls)
 }
 
-// Workers open, use and end flows of the same table at once; the bound holds
-// and no entry is lost or seen under another key.
+// Workers open, use and end flows in the same table concurrently. Capacity must
+// hold, Len must be right, and no entry may be found under another key.
 func TestTableConcurrent(t *testing.T) {
 	const workers, flows = 8, 2000
 	table := Table{Capacity: workers * flows / 2}
@@ -216,7 +216,7 @@
 	require.LessOrEqual(t, n, table.Capacity)
 }
 
-func TestTableAllocatesNothingInUse(t *testing.T) {
+func TestTableAllocs(t *testing.T) {
 	var table Table
 	k := testKey(1)
 	hash := k.Hash()
