--- a/bronzeconf/build.go
+++ b/bronzeconf/build.go
@@ -9,15 +9,15 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// CheckRecords returns every fault of the records, each on its own and all
-// together, sorted by record.
+// CheckRecords returns the faults of each record and the conflicts between
+// records, sorted by record name.
 func CheckRecords(records []Record) []Refusal {
 	return Build(0, records).Refusals
 }
 
-// Build puts records together. What two records claim goes to the one with
-// the lower name, whatever their order in the slice; the other loses just
-// that part, with a Refusal.
+// Build combines records into a Snapshot. If two records claim the same thing,
+// the one with the lower name gets it, whatever their order in the slice. The
+// other one loses only that part, which is listed in Refusals.
 func Build(revision uint64, records []Record) *Snapshot {
 	b := builder{
 		snapshot: &Snapshot{
@@ -25,11 +25,11 @@
 			match:    make(map[matchKey]*Service),
 			servers:  make(map[bronzeflow.ServerID]serverRef),
 		},
-		records:   make(map[string]bool),
-		names:     make(map[serviceName]string),
-		endpoints: make(map[matchKey]string),
-		servers:   make(map[bronzeflow.ServerID]string),
-		tunnels:   make(map[netip.AddrPort]tunnel),
+		recordNames:  make(map[string]bool),
+		serviceNames: make(map[serviceName]string),
+		endpoints:    make(map[matchKey]string),
+		servers:      make(map[bronzeflow.ServerID]string),
+		tunnels:      make(map[netip.AddrPort]tunnelClaim),
 	}
 	sorted := slices.Clone(records)
 	slices.SortStableFunc(sorted, compareRecords)
@@ -44,21 +44,22 @@
 	return cmp.Or(cmp.Compare(a.Name, b.Name), bytes.Compare(a.Body, b.Body))
 }
 
-// sortRefusals orders by record and keeps each record's own order.
+// sortRefusals sorts by record and keeps the order within each record.
 func sortRefusals(list []Refusal) {
 	slices.SortStableFunc(list, func(a, b Refusal) int {
 		return cmp.Compare(a.Record, b.Record)
 	})
 }
 
-// builder holds which record has claimed what so far.
+// builder builds a Snapshot and holds what records have claimed so far, with
+// the name of the claiming record.
 type builder struct {
-	snapshot  *Snapshot
-	records   map[string]bool
-	names     map[serviceName]string
-	endpoints map[matchKey]string
-	servers   map[bronzeflow.ServerID]string
-	tunnels   map[netip.AddrPort]tunnel
+	snapshot     *Snapshot
+	recordNames  map[string]bool
+	serviceNames map[serviceName]string
+	endpoints    map[matchKey]string
+	servers      map[bronzeflow.ServerID]string
+	tunnels      map[netip.AddrPort]tunnelClaim
 }
 
 type serviceName struct {
@@ -66,8 +67,8 @@
 	name     string
 }
 
-// tunnel tells who was first to name a tunnel endpoint.
-type tunnel struct {
+// tunnelClaim is the first claim of a tunnel endpoint.
+type tunnelClaim struct {
 	customer string
 	record   string
 }
@@ -77,11 +78,11 @@
 	defer func() {
 		b.snapshot.Refusals = append(b.snapshot.Refusals, f.list...)
 	}()
-	if b.records[r.Name] {
+	if b.recordNames[r.Name] {
 		f.add("", "another record has the same name")
 		return
 	}
-	b.records[r.Name] = true
+	b.recordNames[r.Name] = true
 	svc := r.Service
 	if svc == nil {
 		svc, f.list = Decode(r.Name, r.Body)
@@ -89,34 +90,34 @@
 	if svc == nil || !b.claimName(f, svc) {
 		return
 	}
-	b.put(f, svc)
+	b.addService(f, svc)
 }
 
-// claimName refuses a whole record whose service exists already: the two
-// would share counters and admission.
+// claimName claims the name of the service. If it is taken, the whole record is
+// refused, since the two services would share counters and admission.
 func (b *builder) claimName(f *faults, svc *Service) (ok bool) {
 	name := serviceName{svc.Customer, svc.Name}
-	if other, taken := b.names[name]; taken {
+	if other, taken := b.serviceNames[name]; taken {
 		f.add("Name", "%q of %q is taken by record %q", svc.Name, svc.Customer, other)
 		return false
 	}
-	b.names[name] = f.record
+	b.serviceNames[name] = f.record
 	return true
 }
 
-func (b *builder) put(f *faults, svc *Service) {
-	own := *svc
-	own.Pool = b.pool(f, svc)
-	b.snapshot.Services = append(b.snapshot.Services, &own)
+func (b *builder) addService(f *faults, svc *Service) {
+	accepted := *svc
+	accepted.Pool = b.claimPool(f, svc)
+	b.snapshot.Services = append(b.snapshot.Services, &accepted)
 	claims := new([]matchKey)
-	for i := range own.Pool {
-		s := &own.Pool[i]
-		b.snapshot.servers[s.ID] = serverRef{service: &own, server: s, claims: claims}
+	for i := range accepted.Pool {
+		s := &accepted.Pool[i]
+		b.snapshot.servers[s.ID] = serverRef{service: &accepted, server: s, claims: claims}
 	}
-	for i, a := range own.Addresses {
-		for j, r := range own.Rules {
+	for i, a := range accepted.Addresses {
+		for j, r := range accepted.Rules {
 			key := matchKey{a.As16(), r.Port, r.Protocol}
-			if b.claimEndpoint(f, &own, i, j, key) {
+			if b.claimEndpoint(f, &accepted, i, j, key) {
 				*claims = append(*claims, key)
 			}
 		}
@@ -125,7 +126,7 @@
 
 func (b *builder) claimEndpoint(f *faults, svc *Service, address, rule int, key matchKey) (ok bool) {
 	if other, taken := b.endpoints[key]; taken {
-		field := element("Addresses", address) + " " + element("Rules", rule)
+		field := elementPath("Addresses", address) + " " + elementPath("Rules", rule)
 		f.add(field, "%v %v port %d is taken by record %q",
 			svc.Addresses[address], key.protocol, key.port, other)
 		return false
@@ -135,12 +136,13 @@
 	return true
 }
 
-// pool returns the servers of svc that no earlier record has claimed.
-func (b *builder) pool(f *faults, svc *Service) []BackendServer {
+// claimPool claims the servers of svc and returns those that no earlier record
+// has claimed.
+func (b *builder) claimPool(f *faults, svc *Service) []BackendServer {
 	pool := make([]BackendServer, 0, len(svc.Pool))
 	for i, s := range svc.Pool {
 		s.ID = bronzeflow.NewServerID(svc.Customer, s.Instance)
-		if b.claimServer(f, svc.Customer, element("Pool", i), &s) {
+		if b.claimServer(f, svc.Customer, elementPath("Pool", i), &s) {
 			pool = append(pool, s)
 		}
 	}
@@ -149,18 +151,18 @@
 
 func (b *builder) claimServer(f *faults, customer, path string, s *BackendServer) (ok bool) {
 	if other, taken := b.servers[s.ID]; taken {
-		f.add(member(path, "Instance"), "%q is taken by record %q", s.Instance, other)
+		f.add(fieldPath(path, "Instance"), "%q is taken by record %q", s.Instance, other)
 		return false
 	}
-	// A tunnel endpoint leads to one machine. Under two customers, packets
-	// of one would arrive at the other's server.
+	// A tunnel endpoint leads to one machine. If two customers claimed it,
+	// packets of one would reach the other's server.
 	t, taken := b.tunnels[s.Address]
 	if taken && t.customer != customer {
-		f.add(member(path, "Address"), "%v is taken by record %q of another Customer", s.Address, t.record)
+		f.add(fieldPath(path, "Address"), "%v is taken by record %q of another Customer", s.Address, t.record)
 		return false
 	}
 	if !taken {
-		b.tunnels[s.Address] = tunnel{customer: customer, record: f.record}
+		b.tunnels[s.Address] = tunnelClaim{customer: customer, record: f.record}
 	}
 	b.servers[s.ID] = f.record
 	return true
--- a/bronzeconf/build_test.go
+++ b/bronzeconf/build_test.go
@@ -12,7 +12,7 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-func TestBuildRefusesSecondClaim(t *testing.T) {
+func TestBuildConflicts(t *testing.T) {
 	tests := []struct {
 		name          string
 		change        func(v *ServiceV2)
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestBuildKeepsTheRestOfTheLoser(t *testing.T) {
+func TestBuildPartialConflict(t *testing.T) {
 	// What the callers of "printout" see: the operator gave it an address of
 	// "map-live" as well. Packets to that address go to map-live, those to
 	// printout's own address still to printout.
@@ -56,7 +56,7 @@
 	require.Same(t, s.Services[0], s.Match(testKey((&first).Service())))
 }
 
-func TestBuildRefusesTwoRecordsOfOneName(t *testing.T) {
+func TestBuildDuplicateRecord(t *testing.T) {
 	first, second := testService("agency", "map-live", 1), testService("agency", "archive", 2)
 	refusals := CheckRecords([]Record{{Name: "a", Body: body(t, first)}, {Name: "a", Body: body(t, second)}})
 	require.Equal(t, []Refusal{{Record: "a", Reason: "another record has the same name"}}, refusals)
@@ -75,7 +75,7 @@
 	return records
 }
 
-func TestBuildIgnoresOrder(t *testing.T) {
+func TestBuildOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records := drawRecords(t)
 		want := Build(1, records)
--- a/bronzeconf/check.go
+++ b/bronzeconf/check.go
@@ -20,9 +20,9 @@
 
 func (f *faults) checkV1(v *ServiceV1) {
 	f.checkName("Customer", v.Customer)
-	// An identifier of a BackendServer is made of "Customer/Instance". With
-	// a slash in Customer two customers' instances could share one, and a
-	// packet would reach the other's server.
+	// The ID of a BackendServer is derived from "Customer/Instance". With a
+	// slash in Customer, instances of two customers could have the same ID,
+	// and packets of one would reach the other's server.
 	if strings.Contains(v.Customer, "/") {
 		f.add("Customer", "%q contains a slash", v.Customer)
 	}
@@ -82,9 +82,9 @@
 	}
 }
 
-func (f *faults) checkDuration(path string, d Duration, least, most time.Duration) {
-	if v := time.Duration(d); v < least || v > most {
-		f.add(path, "%v is not between %v and %v", v, least, most)
+func (f *faults) checkDuration(path string, d Duration, minimum, maximum time.Duration) {
+	if v := time.Duration(d); v < minimum || v > maximum {
+		f.add(path, "%v is not between %v and %v", v, minimum, maximum)
 	}
 }
 
@@ -94,12 +94,12 @@
 	}
 	seen := make(map[netip.Addr]int)
 	for i, a := range addresses {
-		path := element("Addresses", i)
+		path := elementPath("Addresses", i)
 		if !f.checkAddress(path, a) {
 			continue
 		}
 		if j, ok := seen[a.Unmap()]; ok {
-			f.add(path, "%v is given twice, first at %s", a, element("Addresses", j))
+			f.add(path, "%v is given twice, first at %s", a, elementPath("Addresses", j))
 			continue
 		}
 		seen[a.Unmap()] = i
@@ -126,15 +126,15 @@
 	}
 	seen := make(map[RuleV1]int)
 	for i, r := range rules {
-		path := element("Rules", i)
+		path := elementPath("Rules", i)
 		if _, ok := parseProtocol(r.Protocol); !ok {
-			f.add(member(path, "Protocol"), "%q is neither TCP nor UDP", r.Protocol)
+			f.add(fieldPath(path, "Protocol"), "%q is neither TCP nor UDP", r.Protocol)
 		}
 		if r.Port == 0 {
-			f.add(member(path, "Port"), "is 0")
+			f.add(fieldPath(path, "Port"), "is 0")
 		}
 		if j, ok := seen[r]; ok {
-			f.add(path, "is given twice, first at %s", element("Rules", j))
+			f.add(path, "is given twice, first at %s", elementPath("Rules", j))
 			continue
 		}
 		seen[r] = i
@@ -148,16 +148,16 @@
 	instances := make(map[string]int)
 	addresses := make(map[netip.AddrPort]int)
 	for i, b := range pool {
-		path := element("Pool", i)
+		path := elementPath("Pool", i)
 		f.checkServer(path, b)
 		if j, ok := instances[b.Instance]; ok && b.Instance != "" {
-			f.add(member(path, "Instance"), "%q is given twice, first at %s", b.Instance, element("Pool", j))
+			f.add(fieldPath(path, "Instance"), "%q is given twice, first at %s", b.Instance, elementPath("Pool", j))
 		} else {
 			instances[b.Instance] = i
 		}
-		a := unmapPort(b.Address)
+		a := unmapAddrPort(b.Address)
 		if j, ok := addresses[a]; ok && a.IsValid() {
-			f.add(member(path, "Address"), "%v is given twice, first at %s", a, element("Pool", j))
+			f.add(fieldPath(path, "Address"), "%v is given twice, first at %s", a, elementPath("Pool", j))
 		} else {
 			addresses[a] = i
 		}
@@ -165,23 +165,23 @@
 }
 
 func (f *faults) checkServer(path string, b BackendServerV1) {
-	f.checkName(member(path, "Instance"), b.Instance)
-	f.checkName(member(path, "AvailabilityZone"), b.AvailabilityZone)
-	f.checkCount(member(path, "Slots"), b.Slots)
-	f.checkCount(member(path, "Connections"), b.Connections)
-	if f.checkAddress(member(path, "Address"), b.Address.Addr()) && b.Address.Port() == 0 {
-		f.add(member(path, "Address"), "has port 0")
+	f.checkName(fieldPath(path, "Instance"), b.Instance)
+	f.checkName(fieldPath(path, "AvailabilityZone"), b.AvailabilityZone)
+	f.checkCount(fieldPath(path, "Slots"), b.Slots)
+	f.checkCount(fieldPath(path, "Connections"), b.Connections)
+	if f.checkAddress(fieldPath(path, "Address"), b.Address.Addr()) && b.Address.Port() == 0 {
+		f.add(fieldPath(path, "Address"), "has port 0")
 	}
 	switch b.Status {
 	case "", Serving, Draining:
 	default:
-		f.add(member(path, "Status"), "%q is neither %s nor %s", b.Status, Serving, Draining)
+		f.add(fieldPath(path, "Status"), "%q is neither %s nor %s", b.Status, Serving, Draining)
 	}
-	f.checkReport(member(path, "Report"), b.Report)
+	f.checkReport(fieldPath(path, "Report"), b.Report)
 }
 
-// checkReport accepts numbers only for the host: a balancer asks no name
-// service, which could be down when the report is needed most.
+// checkReport accepts only an IP address as the host: a balancer doesn't use a
+// name service, which could be down when the report is needed most.
 func (f *faults) checkReport(path, report string) {
 	if report == "" {
 		return
--- a/bronzeconf/decode.go
+++ b/bronzeconf/decode.go
@@ -7,13 +7,13 @@
 	"unicode/utf8"
 )
 
-// schemaVersionField names the field that tells a record's version.
+// schemaVersionField is the field that holds a record's schema version.
 const schemaVersionField = "SchemaVersion"
 
-// Decode reads the record that is published under name. It returns either the
-// service or every fault that it finds, each with its field's path, such as
-// Pool[3].Address. A record of a schema version that is newer than this build
-// has one Refusal, of SchemaVersion.
+// Decode decodes the record that is published under name. It returns either the
+// service or every fault that it finds, each with the path of its field, such as
+// Pool[3].Address. A record whose schema version is newer than this build knows
+// has a single Refusal, of SchemaVersion.
 func Decode(name string, body []byte) (svc *Service, refusals []Refusal) {
 	f := &faults{record: name}
 	svc = f.decode(body)
--- a/bronzeconf/decode_test.go
+++ b/bronzeconf/decode_test.go
@@ -20,7 +20,7 @@
 	return []byte(strings.Replace(good, old, replacement, 1))
 }
 
-func TestDecodeRefusesEachFault(t *testing.T) {
+func TestDecodeFaults(t *testing.T) {
 	tests := []struct {
 		old, replacement string
 		field, reason    string
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestDecodeRefusesWhatIsNoRecord(t *testing.T) {
+func TestDecodeMalformed(t *testing.T) {
 	good := string(edited(t, "", ""))
 	tests := map[string]string{
 		"":                        "is not JSON",
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestDecodeListsEveryFault(t *testing.T) {
+func TestDecodeMultipleFaults(t *testing.T) {
 	record := `{"SchemaVersion":1,"Customer":"","Brand":7,"Colour":"red",
 		"Addresses":["x","203.0.113.1"],"Rules":[{"Protocol":"TCP","Port":0,"Weight":1}],
 		"Pool":[{"Instance":"i"},3],"Retry":{}}`
--- a/bronzeconf/entry.go
+++ b/bronzeconf/entry.go
@@ -2,39 +2,43 @@
 
 import "fmt"
 
-// maxRefusals bounds the refusals that are kept of one record: a megabyte of
-// unknown fields would have tens of thousands.
+// maxRefusals limits the refusals that are kept for one record: a megabyte of
+// unknown fields would yield tens of thousands.
 const maxRefusals = 100
 
-// entry is what a Store knows of one record.
+// entry is the state of one record in a Store.
 type entry struct {
 	name string
-	// published is the newest revision that an index has listed.
+	// published is the highest revision that an index has listed.
 	published uint64
-	// floor is the revision that the name had when it was removed before.
+	// floor is the revision that a removed record of this name had reached.
+	// Bodies up to it are ignored.
 	floor uint64
-	// good is the last version without faults, and service what it means.
+	// good is the last version without faults, and service its decoded form.
 	good    StoredRecord
 	service *Service
-	// refused is the newest revision that was read and had faults.
+	// refused is the highest revision that had faults, and refusals lists
+	// these.
 	refused  uint64
 	refusals []Refusal
-	// tooNew is kept to be handed over: the asker may be of a newer build,
-	// and need not read from the platform itself.
+	// tooNew is the refused version if its schema version is newer than this
+	// build knows. It is kept for peers of a newer build, which then needn't
+	// read it from the platform.
 	tooNew StoredRecord
 }
 
-// highest returns the newest revision known.
+// highest returns the highest revision known of the record.
 func (e *entry) highest() uint64 {
 	return max(e.published, e.floor)
 }
 
-// lacks tells whether a body of the given revision would be news.
-func (e *entry) lacks(revision uint64) bool {
+// needs reports whether a body of the given revision would be newer than all
+// that the entry has seen.
+func (e *entry) needs(revision uint64) bool {
 	return revision > max(e.good.Revision, e.refused, e.floor)
 }
 
-// setBody takes a body in. reason says what is to be counted, if anything.
+// setBody takes in a body. reason is the event to count, or empty.
 func (e *entry) setBody(r StoredRecord) (reason string, changed bool) {
 	if r.Revision <= max(e.good.Revision, e.floor) {
 		if r.Revision < max(e.good.Revision, e.floor+1) {
@@ -67,7 +71,7 @@
 		return reason, false
 	}
 	e.refused = r.Revision
-	e.refusals = bounded(f.list)
+	e.refusals = truncateRefusals(f.list)
 	e.tooNew = StoredRecord{}
 	if f.tooNew {
 		e.tooNew = r
@@ -75,7 +79,7 @@
 	return reason, true
 }
 
-func bounded(list []Refusal) []Refusal {
+func truncateRefusals(list []Refusal) []Refusal {
 	if len(list) <= maxRefusals {
 		return list
 	}
@@ -86,7 +90,7 @@
 	return append(list[:maxRefusals:maxRefusals], more)
 }
 
-// notInForce tells why the version published isn't in force, nil if it is.
+// notInForce returns why the published version isn't in force, or nil if it is.
 func (e *entry) notInForce() []Refusal {
 	switch {
 	case e.refused > e.good.Revision:
@@ -94,13 +98,13 @@
 	case e.published <= e.good.Revision:
 		return nil
 	case e.published <= e.floor:
-		return e.refusal("%d is not above %d, which the name had when it was removed", e.published, e.floor)
+		return e.revisionRefusal("%d is not above %d, which the name had when it was removed", e.published, e.floor)
 	default:
-		return e.refusal("%d is published but was not handed over; %d is in force", e.published, e.good.Revision)
+		return e.revisionRefusal("%d is published but was not handed over; %d is in force", e.published, e.good.Revision)
 	}
 }
 
-func (e *entry) refusal(format string, args ...any) []Refusal {
+func (e *entry) revisionRefusal(format string, args ...any) []Refusal {
 	return []Refusal{{
 		Record: e.name,
 		Field:  "Revision",
--- a/bronzeconf/exchange.go
+++ b/bronzeconf/exchange.go
@@ -8,9 +8,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Have returns what the store holds, for a peer's Diff: each record's name
-// with the revision of its last good version, 0 if there is none, and once
-// more with that of a version that is too new for this build.
+// Have returns the versions that the store holds, for a peer's Diff. Each record
+// is listed with the revision of its last good version, or 0 if there is none,
+// and a second time if the store holds a version that is too new for this build.
 func (s *Store) Have() []RecordVersion {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -25,30 +25,30 @@
 	return have
 }
 
-// Diff returns what a peer that holds have needs to Apply to come to this
-// store's state: its index and the bodies that the peer lacks. Bodies are the
-// last good versions, so that a node that joins has one also of a record
-// whose newest version has faults, and those too new for this build.
-// They are in order of names: where they are applied in parts, in that order,
-// a record never gets for a while what one with a lower name claims as well.
+// Diff returns what a peer that holds have must Apply to reach the state of this
+// store: the index and the bodies that the peer lacks. The bodies are the last
+// good versions, so that a joining node gets one even if the newest version has
+// faults, and the versions that are too new for this build. They are sorted by
+// name: if they are applied in parts, in that order, a record never gets
+// temporarily what a record with a lower name also claims.
 func (s *Store) Diff(have []RecordVersion) (rev uint64, present []RecordVersion, bodies []StoredRecord) {
-	held := heldRevisions(have)
+	held := groupRevisions(have)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for name, e := range s.records {
 		present = append(present, RecordVersion{Name: name, Revision: e.published})
 		for _, r := range []StoredRecord{e.good, e.tooNew} {
-			if r.Revision > 0 && held.lack(r) {
+			if r.Revision > 0 && held.lacks(r) {
 				bodies = append(bodies, r)
 			}
 		}
 	}
 	sortVersions(present)
-	return s.revision, present, byRevision(bodies)
+	return s.revision, present, sortedByRevision(bodies)
 }
 
-// Missing returns the names of the records in present whose revision there is
-// newer than any that the store has seen, in order.
+// Missing returns the sorted names of the records in present whose revision is
+// higher than any that the store has seen.
 func (s *Store) Missing(present []RecordVersion) (names []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,7 +57,7 @@
 		if e == nil {
 			e = &entry{floor: s.removed[v.Name].record}
 		}
-		if e.lacks(v.Revision) {
+		if e.needs(v.Revision) {
 			names = append(names, v.Name)
 		}
 	}
@@ -65,9 +65,10 @@
 	return slices.Compact(names)
 }
 
-// Digest returns a hash over Have. Two stores of one revision can differ in
-// the last good version of a record whose newest has faults, or while a read
-// has failed; they differ in their Digest then, and Diff evens that out.
+// Digest returns a hash of Have. Two stores with the same index revision can
+// hold different last good versions, if the newest version of a record has
+// faults or a read failed. Their digests then differ, and applying each other's
+// Diff makes them equal.
 func (s *Store) Digest() uint64 {
 	d := xxhash.New()
 	var revision [8]byte
@@ -79,19 +80,20 @@
 	return d.Sum64()
 }
 
-// held are the revisions that a peer holds of each record.
-type held map[string][]uint64
+// heldRevisions are the revisions of each record that a peer holds.
+type heldRevisions map[string][]uint64
 
-func heldRevisions(have []RecordVersion) held {
-	h := make(held, len(have))
+func groupRevisions(have []RecordVersion) heldRevisions {
+	h := make(heldRevisions, len(have))
 	for _, v := range have {
 		h[v.Name] = append(h[v.Name], v.Revision)
 	}
 	return h
 }
 
-// lack tells whether the peer needs r. Its lowest revision is the good one.
-func (h held) lack(r StoredRecord) bool {
+// lacks reports whether the peer needs r. The lowest revision that the peer
+// holds of a record is its last good one.
+func (h heldRevisions) lacks(r StoredRecord) bool {
 	revisions := h[r.Name]
 	if len(revisions) == 0 {
 		return true
--- a/bronzeconf/faults.go
+++ b/bronzeconf/faults.go
@@ -5,18 +5,18 @@
 	"strings"
 )
 
-// faults collects what is wrong with one record.
+// faults collects the faults of one record.
 type faults struct {
 	record string
 	list   []Refusal
 	fields map[string]bool
-	// tooNew is set if the schema version is newer than this build.
+	// tooNew is set if the schema version is newer than this build knows.
 	tooNew bool
 }
 
-// add notes a fault of field. Only the first fault of a field counts, and
-// none of the parts of a field that is faulty itself: what couldn't be read
-// would be reported again as missing.
+// add adds a fault of field. Only the first fault of a field is kept, and none
+// of the fields inside a faulty one: what couldn't be read would be reported
+// again as missing.
 func (f *faults) add(field, format string, args ...any) {
 	if f.covered(field) {
 		return
@@ -42,13 +42,13 @@
 	return false
 }
 
-func member(path, name string) string {
+func fieldPath(path, name string) string {
 	if path == "" {
 		return name
 	}
 	return path + "." + name
 }
 
-func element(path string, i int) string {
+func elementPath(path string, i int) string {
 	return fmt.Sprintf("%s[%d]", path, i)
 }
--- a/bronzeconf/http.go
+++ b/bronzeconf/http.go
@@ -12,15 +12,16 @@
 	"github.com/pkg/errors"
 )
 
-// RevisionHeader carries a value's revision in the platform's answers.
+// RevisionHeader is the header of the platform's responses that holds a value's
+// revision.
 const RevisionHeader = "Revision"
 
 const (
-	// DefaultReadTimeout bounds a read of a value or of the VM list.
+	// DefaultReadTimeout is the default of HTTPPlatform.ReadTimeout.
 	DefaultReadTimeout = 2 * time.Second
-	// DefaultWait is how long a watch may wait. A connection can go silent
-	// for good while new ones work; a watch on it is given up after Wait and
-	// ReadTimeout, and the next one uses another connection.
+	// DefaultWait is the default of HTTPPlatform.Wait. A connection can stop
+	// responding while new ones work. A watch on it is given up after Wait
+	// plus ReadTimeout, and the next one uses another connection.
 	DefaultWait = 3 * time.Second
 )
 
@@ -30,20 +31,23 @@
 //	GET {Base}/Values/{name}?After={revision}&Wait={duration}
 //	GET {Base}/VMs
 //
-// A value is answered with 200, its revision in the header Revision, and its
-// body. The second form is a long poll: if the value isn't above After, it is
-// answered after Wait with 304 and the header. VMs is a JSON array of VM.
+// A value is returned with status 200, its revision in the header Revision, and
+// its body. The second form is a long poll: if the revision isn't above After,
+// the response is sent after Wait, with status 304 and the header. VMs is a JSON
+// array of VM.
 type HTTPPlatform struct {
-	// Base is the URL before the paths.
+	// Base is the URL to which the paths are appended.
 	Base string
-	// Client is http.DefaultClient if it is nil.
+	// Client is the HTTP client; nil means http.DefaultClient.
 	Client *http.Client
-	// ReadTimeout and Wait have defaults where they are 0.
+	// ReadTimeout limits a read of a value or of the VM list; 0 means
+	// DefaultReadTimeout.
 	ReadTimeout time.Duration
-	Wait        time.Duration
+	// Wait is how long a watch may wait for a change; 0 means DefaultWait.
+	Wait time.Duration
 }
 
-// Platform returns the functions that read over HTTP.
+// Platform returns a Platform that reads over HTTP.
 func (h HTTPPlatform) Platform() Platform {
 	if h.Client == nil {
 		h.Client = http.DefaultClient
@@ -110,30 +114,30 @@
 	return Value{Revision: rev, Body: a.body}, nil
 }
 
-// answer is what a response says.
-type answer struct {
+// response is the part of an HTTP response that is used.
+type response struct {
 	code     int
 	status   string
 	revision string
 	body     []byte
 }
 
-// fetch returns the answer with a body of at most one byte over the limit,
+// fetch requests path. It reads at most one byte of the body over the limit,
 // which is enough to refuse it.
-func (h *HTTPPlatform) fetch(ctx context.Context, path string, timeout time.Duration) (a answer, err error) {
+func (h *HTTPPlatform) fetch(ctx context.Context, path string, timeout time.Duration) (a response, err error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, h.Base+path, http.NoBody)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	res, err := h.Client.Do(req)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	defer func() { _ = res.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(res.Body, MaxRecordBytes+1))
-	return answer{
+	return response{
 		code:     res.StatusCode,
 		status:   res.Status,
 		revision: res.Header.Get(RevisionHeader),
--- a/bronzeconf/platform.go
+++ b/bronzeconf/platform.go
@@ -11,24 +11,24 @@
 // IndexName is the name of the value that lists the published records.
 const IndexName = "Index"
 
-// ErrNotFound says that the platform has no value of a name.
+// ErrNotFound means that the platform has no value under a name.
 var ErrNotFound = errors.New("no such value")
 
-// Platform is the configuration service and VM list that the system reads.
-// Nothing can be written to it. The functions may be called concurrently.
+// Platform reads the configuration service and the list of VMs. It can't write
+// to them. The functions are safe for concurrent use.
 type Platform struct {
-	// Read returns the value under name, ErrNotFound if there is none.
+	// Read returns the value under name, or ErrNotFound if there is none.
 	Read func(ctx context.Context, name string) (Value, error)
 	// Watch returns the value under name as soon as its revision is above
-	// after, and otherwise, after a wait of its own choice, a Value that has
-	// only the Revision.
+	// after. If it isn't within a time that the implementation chooses, Watch
+	// returns a Value with only the Revision.
 	Watch func(ctx context.Context, name string, after uint64) (Value, error)
-	// VMs returns the list of live and leaving VMs, which lags.
+	// VMs returns the list of live and leaving VMs, which may be out of date.
 	VMs func(ctx context.Context) ([]VM, error)
 }
 
-// Value is a published value. A Body over MaxRecordBytes may be cut off at
-// any length above that.
+// Value is a published value. A Body longer than MaxRecordBytes may be truncated
+// to any length above that.
 type Value struct {
 	Revision uint64
 	Body     []byte
@@ -41,8 +41,8 @@
 	Records  []RecordVersion
 }
 
-// ParseIndex reads the value of IndexName as strictly as a record. Its error
-// is the first Refusal.
+// ParseIndex decodes the value of IndexName as strictly as a record. If the
+// index has faults, the error wraps the first Refusal.
 func ParseIndex(v Value) (index Index, err error) {
 	defer func() { err = errors.Wrap(err, "index") }()
 	if len(v.Body) > MaxRecordBytes {
@@ -67,10 +67,10 @@
 	}
 	seen := make(map[string]bool, len(index.Records))
 	for i, v := range index.Records {
-		path := element("Records", i)
-		f.checkRecordName(member(path, "Name"), v.Name)
+		path := elementPath("Records", i)
+		f.checkRecordName(fieldPath(path, "Name"), v.Name)
 		if v.Revision == 0 {
-			f.add(member(path, "Revision"), "is missing or 0")
+			f.add(fieldPath(path, "Revision"), "is missing or 0")
 		}
 		if seen[v.Name] {
 			f.add(path, "%q is given twice", v.Name)
@@ -79,7 +79,7 @@
 	}
 }
 
-// checkRecordName keeps names out that can't be told from other paths of the
+// checkRecordName refuses names that could be confused with other paths of the
 // platform.
 func (f *faults) checkRecordName(path, name string) {
 	f.checkName(path, name)
--- a/bronzeconf/reader.go
+++ b/bronzeconf/reader.go
@@ -16,180 +16,185 @@
 const (
 	// PlatformFailed: the index couldn't be read.
 	PlatformFailed = "PlatformFailed"
-	// PlatformStale: the platform showed an older index than is in force.
+	// PlatformStale: the platform returned an index older than the one in
+	// force or one seen before.
 	PlatformStale = "PlatformStale"
 	// IndexRefused: the index has faults.
 	IndexRefused = "IndexRefused"
-	// RecordUnread: a record couldn't be read, or only in an older revision
-	// than its index lists.
+	// RecordUnread: a record couldn't be read, or only in a revision lower
+	// than the index lists.
 	RecordUnread = "RecordUnread"
 )
 
 const (
-	// minBackoff and maxBackoff bound the pause after a failure. The longest
-	// one leaves time to read everything within seconds of a recovery.
+	// minBackoff and maxBackoff bound the pause after a failure. The maximum
+	// is short enough to read everything within seconds of a recovery.
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 2 * time.Second
-	// minWatch is the shortest time between two watches without news, in
-	// case the platform doesn't wait.
-	minWatch = time.Second
-	// idleInterval is how often a reader that isn't active looks whether it
-	// has become so.
-	idleInterval = time.Second
-	// readers is how many records are read at once.
-	readers = 8
-	// wholeTries is how often an index is tried before it is applied without
-	// the records that can't be read, so that one of them doesn't hold the
-	// others up.
-	wholeTries = 3
+	// minWatchInterval is the minimum time from the start of a watch that
+	// brought nothing new to the next, in case the platform doesn't wait.
+	minWatchInterval = time.Second
+	// inactiveInterval is how often an inactive reader checks whether it has
+	// become active.
+	inactiveInterval = time.Second
+	// concurrentReads is the number of records that are read at once.
+	concurrentReads = 8
+	// maxReadAttempts is how often reading all records of an index is
+	// attempted before the index is applied without the unreadable ones, so
+	// that one of them doesn't delay the others.
+	maxReadAttempts = 3
 )
 
 // Reader keeps a Store up to date from the platform. While the platform is
-// down, the Store goes on with what it has.
+// unavailable, the Store keeps its content.
 type Reader struct {
 	Platform Platform
 	Store    *Store
-	// Active says whether this node is one of those that read the platform;
-	// nil means always. The others get records from their peers.
+	// Active reports whether this node reads the platform now; nil means
+	// always. Other nodes get the records from their peers.
 	Active func() bool
-	// Count counts an event of the given reason.
+	// Count, if set, counts an event of the given reason.
 	Count func(reason string)
-	// OnError gets each error of the platform, for the log.
+	// OnError, if set, is called with each error of reading the platform.
 	OnError func(error)
 
-	// watched is the platform's revision of the value that was seen last.
-	watched uint64
-	// index is the newest index that was read, pending whether records of it
-	// are left to be read, and tries how often that was tried.
-	index   Index
-	pending bool
-	tries   int
-	// bodies are read but not applied yet.
+	// watchedRevision is the platform's revision of the index value that was
+	// seen last.
+	watchedRevision uint64
+	// index is the newest index that was read. pending is set if some of its
+	// records still have to be read, and attempts counts the attempts.
+	index    Index
+	pending  bool
+	attempts int
+	// bodies are the records that were read but not applied yet.
 	bodies  []StoredRecord
 	backoff bronzeretry.Backoff
 }
 
-// Run reads until ctx is done and returns the cause.
+// Run follows the platform until ctx is done, and returns the cause.
 func (r *Reader) Run(ctx context.Context) error {
 	r.backoff = bronzeretry.Backoff{Min: minBackoff, Max: maxBackoff}
-	// The context ends the pool, which has no worker left while it is idle.
-	pool := pond.NewPool(readers, pond.WithContext(ctx))
+	// The pool ends with the context, and has no workers while it is idle.
+	pool := pond.NewPool(concurrentReads, pond.WithContext(ctx))
 	for ctx.Err() == nil {
-		bronzeretry.Pause(ctx, r.step(ctx, pool))
+		bronzeretry.Pause(ctx, r.watchOnce(ctx, pool))
 	}
 	return context.Cause(ctx)
 }
 
-// step does one watch with what follows from it and returns for how long to
-// pause before the next.
-func (r *Reader) step(ctx context.Context, pool pond.Pool) time.Duration {
+// watchOnce watches the index once, applies what it returns, and returns how
+// long to pause before the next call.
+func (r *Reader) watchOnce(ctx context.Context, pool pond.Pool) time.Duration {
 	if r.Platform.Watch == nil || r.Active != nil && !r.Active() {
-		return idleInterval
+		return inactiveInterval
 	}
-	begun := time.Now()
-	news, ok := r.next(ctx)
-	if ok && news {
+	start := time.Now()
+	changed, ok := r.nextIndex(ctx)
+	if ok && changed {
 		ok = r.readAll(ctx, pool)
 	}
 	if !ok {
 		return r.backoff.Next()
 	}
 	r.backoff.Reset()
-	if news {
+	if changed {
 		return 0
 	}
-	return max(0, minWatch-time.Since(begun))
+	return max(0, minWatchInterval-time.Since(start))
 }
 
-// next gets the next index. news says whether it has records to be read, ok
-// whether the platform gave something to go on with.
-func (r *Reader) next(ctx context.Context) (news, ok bool) {
+// nextIndex fetches the index. changed reports whether there is an index to
+// apply; ok is false if the caller should back off.
+func (r *Reader) nextIndex(ctx context.Context) (changed, ok bool) {
 	inForce := r.Store.Revision()
 	v, err := r.fetch(ctx)
 	if ctx.Err() != nil {
 		return false, false
 	}
 	if err != nil {
-		r.fail(PlatformFailed, err)
+		r.reportError(PlatformFailed, err)
 		return false, false
 	}
-	if v.Revision < r.watched {
-		// A replica that lags behind. From here on it is watched as it is:
-		// should the platform have been restored, it stays that low.
-		r.watched = v.Revision
+	if v.Revision < r.watchedRevision {
+		// A replica lags behind, or the platform was restored and stays at
+		// this revision. Continue to watch from it in either case.
+		r.watchedRevision = v.Revision
 		r.count(PlatformStale)
 		return false, false
 	}
-	if v.Revision == r.watched {
+	if v.Revision == r.watchedRevision {
 		return r.pending, true
 	}
-	r.watched = v.Revision
+	r.watchedRevision = v.Revision
 	return r.setIndex(v, inForce)
 }
 
-// fetch waits for news, but not while there is something left to be read.
+// fetch waits for a change of the index, unless records of the present one still
+// have to be read.
 func (r *Reader) fetch(ctx context.Context) (Value, error) {
 	if r.pending {
 		return r.Platform.Read(ctx, IndexName)
 	}
-	return r.Platform.Watch(ctx, IndexName, r.watched)
+	return r.Platform.Watch(ctx, IndexName, r.watchedRevision)
 }
 
-func (r *Reader) setIndex(v Value, inForce uint64) (news, ok bool) {
+func (r *Reader) setIndex(v Value, inForce uint64) (changed, ok bool) {
 	index, err := ParseIndex(v)
 	if err != nil {
-		r.fail(IndexRefused, err)
+		r.reportError(IndexRefused, err)
 		return false, false
 	}
 	if index.Revision < max(inForce, r.index.Revision) {
-		// What was in force before: acting on it would bring removed
-		// servers back.
+		// Applying an index older than the one in force would bring back
+		// removed servers.
 		r.count(PlatformStale)
 		return false, false
 	}
-	r.index, r.pending, r.tries = index, true, 0
+	r.index, r.pending, r.attempts = index, true, 0
 	return true, true
 }
 
-// readAll reads what the store lacks of the index and applies it. ok is false
-// if something is left to be read.
+// readAll reads the records of the index that the store lacks and applies the
+// index. ok is false if some records still have to be read.
 func (r *Reader) readAll(ctx context.Context, pool pond.Pool) (ok bool) {
 	unread := r.readBodies(ctx, pool)
 	if ctx.Err() != nil {
 		return false
 	}
-	r.tries++
-	if unread > 0 && r.tries < wholeTries {
+	r.attempts++
+	if unread > 0 && r.attempts < maxReadAttempts {
 		return false
 	}
-	// ErrStale means that a peer had a newer index in the meantime; what this
-	// one lists is of no use then, and the watch brings the newer one.
+	// ErrStale means that a peer has brought a newer index in the meantime.
+	// This one is then of no use, and the watch will return the newer one.
 	_, err := r.Store.Apply(r.index.Revision, r.index.Records, r.bodies)
 	r.bodies = nil
 	r.pending = unread > 0 && err == nil
 	return !r.pending
 }
 
-// readBodies reads several records at once and returns how many are unread.
+// readBodies reads the missing records concurrently and returns how many
+// couldn't be read.
 func (r *Reader) readBodies(ctx context.Context, pool pond.Pool) (unread int) {
-	names := r.wanted()
-	read := &bodyReader{platform: &r.Platform}
+	records := r.unreadRecords()
+	reader := &bodyReader{platform: &r.Platform}
 	group := pool.NewGroupContext(ctx)
-	for _, v := range names {
-		group.Submit(func() { read.read(ctx, v) })
+	for _, v := range records {
+		group.Submit(func() { reader.read(ctx, v) })
 	}
 	if err := group.Wait(); err != nil {
-		return len(names)
+		return len(records)
 	}
-	r.bodies = append(r.bodies, read.bodies...)
-	for _, err := range read.errs {
-		r.fail(RecordUnread, err)
+	r.bodies = append(r.bodies, reader.bodies...)
+	for _, err := range reader.errs {
+		r.reportError(RecordUnread, err)
 	}
-	return len(read.errs)
+	return len(reader.errs)
 }
 
-// wanted returns the records that neither the store nor bodies have.
-func (r *Reader) wanted() (list []RecordVersion) {
+// unreadRecords returns the records of the index that neither the store nor
+// bodies have.
+func (r *Reader) unreadRecords() (list []RecordVersion) {
 	lacks := r.Store.Missing(r.index.Records)
 	for _, v := range r.index.Records {
 		_, lacking := slices.BinarySearch(lacks, v.Name)
@@ -203,7 +208,7 @@
 	return list
 }
 
-func (r *Reader) fail(reason string, err error) {
+func (r *Reader) reportError(reason string, err error) {
 	r.count(reason)
 	if r.OnError != nil {
 		r.OnError(err)
@@ -216,7 +221,7 @@
 	}
 }
 
-// bodyReader collects what concurrent reads return.
+// bodyReader collects the results of concurrent reads.
 type bodyReader struct {
 	platform *Platform
 
--- a/bronzeconf/record.go
+++ b/bronzeconf/record.go
@@ -16,45 +16,46 @@
 	SchemaNewest = SchemaV2
 )
 
-// MaxRecordBytes is the longest record that is accepted; the platform holds
-// values up to this size.
+// MaxRecordBytes is the maximum length of a record. The platform holds values up
+// to this size.
 const MaxRecordBytes = 1 << 20
 
-// What a record takes where it says nothing. Version 1 can't say any of it.
+// The defaults of fields that a record leaves out. Version 1 has none of these
+// fields.
 const (
 	DefaultImbalanceBound = 1.08
 	DefaultColdStart      = 30 * time.Second
-	// The limits are those of one balancer, wide enough for a service that
-	// is alone on it, yet below the size of its flow table.
+	// The limits apply to one balancer. They are wide enough for a service
+	// that is alone on it, yet below the size of its flow table.
 	DefaultHalfOpen     = 20_000
 	DefaultOpen         = 300_000
 	DefaultNewPerSecond = 10_000
 	DefaultRetryBudget  = 0.1
 	DefaultAttempts     = 3
 	DefaultOpenDeadline = 3 * time.Second
-	// DefaultIdleTimeout follows RFC 5382: TCP keep-alives are sent after
-	// two hours, so a flow without packets for longer is gone.
+	// DefaultIdleTimeout follows RFC 5382: TCP keep-alives are sent after two
+	// hours, so a flow without packets for longer has ended.
 	DefaultIdleTimeout = 2*time.Hour + 4*time.Minute
 )
 
-// Record is a published record under its name.
+// Record is a published record with its name.
 type Record struct {
 	Name string
 	Body []byte
-	// Service is what Body decodes to. Build decodes Body where it is nil,
-	// and otherwise takes Service as checked.
+	// Service is the decoded form of Body. If it is nil, Build decodes Body;
+	// otherwise Build uses Service without checking it again.
 	Service *Service
 }
 
-// Duration is a time.Duration that is written as a string such as "3s".
+// Duration is a time.Duration that is encoded as a string such as "3s".
 type Duration time.Duration
 
-// MarshalText writes d as time.Duration does.
+// MarshalText returns d in the format of time.Duration.String.
 func (d Duration) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(d).String()), nil
 }
 
-// UnmarshalText reads what time.ParseDuration reads.
+// UnmarshalText sets d from a string that time.ParseDuration accepts.
 func (d *Duration) UnmarshalText(b []byte) error {
 	v, err := time.ParseDuration(string(b))
 	if err != nil {
@@ -64,8 +65,8 @@
 	return nil
 }
 
-// ServiceV1 is a record of schema version 1. Its JSON form has the fields'
-// names.
+// ServiceV1 is a record of schema version 1. Its fields have the same names in
+// JSON.
 type ServiceV1 struct {
 	SchemaVersion int
 	Customer      string
@@ -94,9 +95,8 @@
 	Report           string       `json:",omitempty"`
 }
 
-// ServiceV2 is a record of schema version 2. A field of Policy, Limits or
-// Retry, OpenDeadline or IdleTimeout that the record leaves out takes its
-// default; NewServiceV2 returns a record with these.
+// ServiceV2 is a record of schema version 2. OpenDeadline, IdleTimeout and the
+// fields of Policy, Limits and Retry have defaults, which NewServiceV2 sets.
 type ServiceV2 struct {
 	SchemaVersion int
 	Customer      string
@@ -118,7 +118,7 @@
 	ColdStart      Duration
 }
 
-// LimitsV2 are Limits in a record.
+// LimitsV2 is a Limits in a record.
 type LimitsV2 struct {
 	HalfOpen     int
 	Open         int
@@ -132,7 +132,7 @@
 	Idempotent bool
 }
 
-// NewServiceV2 returns a record that has every default and no addresses,
+// NewServiceV2 returns a record with all defaults set and no names, addresses,
 // rules or pool.
 func NewServiceV2() ServiceV2 {
 	return ServiceV2{
@@ -155,7 +155,7 @@
 	}
 }
 
-// V2 returns the record of version 2 that means the same.
+// V2 returns the equivalent record of schema version 2.
 func (v *ServiceV1) V2() ServiceV2 {
 	w := NewServiceV2()
 	w.Customer = v.Customer
@@ -182,9 +182,9 @@
 		Brand:         v.Brand,
 		Name:          v.Name,
 		SchemaVersion: SchemaV2,
-		Addresses:     unmapped(v.Addresses),
-		Rules:         rules(v.Rules),
-		Pool:          servers(v.Customer, v.Pool),
+		Addresses:     unmapAddrs(v.Addresses),
+		Rules:         convertRules(v.Rules),
+		Pool:          convertServers(v.Customer, v.Pool),
 		Policy: Policy{
 			ImbalanceBound: v.Policy.ImbalanceBound,
 			ColdStart:      time.Duration(v.Policy.ColdStart),
@@ -196,7 +196,7 @@
 	}
 }
 
-func unmapped(list []netip.Addr) []netip.Addr {
+func unmapAddrs(list []netip.Addr) []netip.Addr {
 	out := make([]netip.Addr, len(list))
 	for i, a := range list {
 		out[i] = a.Unmap()
@@ -204,7 +204,7 @@
 	return out
 }
 
-func rules(list []RuleV1) []Rule {
+func convertRules(list []RuleV1) []Rule {
 	out := make([]Rule, len(list))
 	for i, r := range list {
 		p, _ := parseProtocol(r.Protocol)
@@ -213,13 +213,13 @@
 	return out
 }
 
-func servers(customer string, list []BackendServerV1) []BackendServer {
+func convertServers(customer string, list []BackendServerV1) []BackendServer {
 	out := make([]BackendServer, len(list))
 	for i, b := range list {
 		out[i] = BackendServer{
 			ID:               bronzeflow.NewServerID(customer, b.Instance),
 			Instance:         b.Instance,
-			Address:          unmapPort(b.Address),
+			Address:          unmapAddrPort(b.Address),
 			AvailabilityZone: b.AvailabilityZone,
 			Slots:            b.Slots,
 			Connections:      b.Connections,
@@ -233,7 +233,7 @@
 	return out
 }
 
-func unmapPort(a netip.AddrPort) netip.AddrPort {
+func unmapAddrPort(a netip.AddrPort) netip.AddrPort {
 	return netip.AddrPortFrom(a.Addr().Unmap(), a.Port())
 }
 
--- a/bronzeconf/record_test.go
+++ b/bronzeconf/record_test.go
@@ -53,7 +53,7 @@
 	require.Equal(t, Serving, svc.Pool[0].Status)
 }
 
-func TestSchemaVersionsSideBySide(t *testing.T) {
+func TestBuildSchemaVersions(t *testing.T) {
 	live := testService("agency", "map-live", 1)
 	live.Policy.ImbalanceBound = 1.5
 	archive := ServiceV1{
@@ -80,7 +80,7 @@
 	require.InDelta(t, 1.5, s.Services[1].Policy.ImbalanceBound, 0)
 }
 
-func TestSnapshotNilMatchesNothing(t *testing.T) {
+func TestSnapshotNil(t *testing.T) {
 	var s *Snapshot
 	require.Nil(t, s.Match(&bronzeflow.Key{}))
 	_, _, ok := s.Server(1)
--- a/bronzeconf/service.go
+++ b/bronzeconf/service.go
@@ -7,13 +7,13 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// Service is one service in force, whatever schema version its record has.
-// It is immutable once it is in a Snapshot.
+// Service is the configuration of one service, independent of the schema version
+// of its record. It is immutable once it is in a Snapshot.
 type Service struct {
 	Customer string
 	Brand    string
 	Name     string
-	// SchemaVersion is the version of the record that it came from.
+	// SchemaVersion is the schema version of the record.
 	SchemaVersion int
 	Addresses     []netip.Addr
 	Rules         []Rule
@@ -21,23 +21,23 @@
 	Policy        Policy
 	Limits        Limits
 	Retry         Retry
-	// OpenDeadline bounds the time from a flow's first Open to its
-	// establishment or refusal.
+	// OpenDeadline limits the time from a flow's first Open until it is
+	// established or refused.
 	OpenDeadline time.Duration
-	// IdleTimeout ends a flow without packets.
+	// IdleTimeout is the time without packets after which a flow ends.
 	IdleTimeout time.Duration
 }
 
-// Rule names traffic that the service takes on each of its addresses.
+// Rule is a protocol and port that the service accepts on each of its addresses.
 type Rule struct {
 	Protocol bronzeflow.Protocol
 	Port     uint16
 }
 
-// ServerStatus is what a record says of a BackendServer.
+// ServerStatus is the status of a BackendServer in a record.
 type ServerStatus string
 
-// The statuses of a BackendServer in a record.
+// The values of ServerStatus.
 const (
 	Serving  ServerStatus = "Serving"
 	Draining ServerStatus = "Draining"
@@ -45,14 +45,15 @@
 
 // BackendServer is one instance in a service's pool.
 type BackendServer struct {
-	// ID is derived from the Customer and Instance.
+	// ID is derived from the Customer and the Instance.
 	ID       bronzeflow.ServerID `json:"-"`
 	Instance string
-	// Address is where its tunnel endpoint listens (UDP).
+	// Address is the UDP address of its tunnel endpoint.
 	Address          netip.AddrPort
 	AvailabilityZone string
-	// Slots is how many requests it runs at once; Connections how many
-	// flows it can hold. Both are hard limits, 0 means no limit.
+	// Slots is the number of requests that it runs at once, and Connections
+	// the number of flows that it can hold. Both are hard limits; 0 means no
+	// limit.
 	Slots       int
 	Connections int
 	Status      ServerStatus
@@ -60,30 +61,31 @@
 	Report string
 }
 
-// Policy weighs broken flows against imbalance.
+// Policy controls the trade-off between broken flows and imbalance.
 type Policy struct {
-	// ImbalanceBound is how far a server's load may go over the fair share
-	// before a flow is placed off its first candidate: 1.05 is 5% over.
+	// ImbalanceBound is the ratio of a server's load to its fair share above
+	// which a flow is not placed on its first candidate: 1.05 means 5% over.
 	ImbalanceBound float64
-	// ColdStart is how long a new server's share is ramped up.
+	// ColdStart is how long the share of a new server is ramped up.
 	ColdStart time.Duration
 }
 
-// Limits bound what one service may use of a balancer. 0 means no limit.
+// Limits are the maximum numbers of half-open flows, of all flows, and of new
+// flows per second of one service on one balancer. 0 means no limit.
 type Limits struct {
 	HalfOpen     int
 	Open         int
 	NewPerSecond int
 }
 
-// Retry bounds further attempts to open a flow.
+// Retry limits further attempts to open a flow.
 type Retry struct {
-	// Budget is the share of opens that may be attempted again, 0 to 1.
+	// Budget is the number of retries allowed for each first attempt, 0 to 1.
 	Budget float64
-	// Attempts is the most servers that one flow is tried on.
+	// Attempts is the maximum number of servers on which a flow is tried.
 	Attempts int
-	// Idempotent says that requests may run twice, so that an open whose
-	// payload was already forwarded may be tried elsewhere.
+	// Idempotent means that requests may run twice, so that an Open whose
+	// payload was already forwarded may be retried on another server.
 	Idempotent bool
 }
 
@@ -102,8 +104,8 @@
 	return s.match[matchKey{key.Service, key.ServicePort, key.Protocol}]
 }
 
-// Server returns the BackendServer with the given identifier and the service
-// whose pool holds it; ok is false if it is not in force.
+// Server returns the BackendServer with the given ID and the service whose pool
+// contains it; ok is false if there is none.
 func (s *Snapshot) Server(id bronzeflow.ServerID) (svc *Service, b *BackendServer, ok bool) {
 	if s == nil {
 		return nil, nil, false
@@ -112,10 +114,10 @@
 	return r.service, r.server, ok
 }
 
-// Snapshot is a configuration in force: immutable, safe for concurrent use.
-// The zero Snapshot has no services.
+// Snapshot is the configuration of one revision. It is immutable and safe for
+// concurrent use. The zero Snapshot has no services.
 type Snapshot struct {
-	// Revision grows with each published change and never falls.
+	// Revision increases with each published change.
 	Revision uint64
 	Services []*Service
 	// Refusals lists the records, or parts of them, that are not in force.
@@ -134,18 +136,18 @@
 type serverRef struct {
 	service *Service
 	server  *BackendServer
-	// claims are the endpoints that the service has, shared by all servers of
-	// its pool.
+	// claims are the endpoints of the service, shared by all servers of its
+	// pool.
 	claims *[]matchKey
 }
 
-// fewClaims is up to how many endpoints are compared one by one, which is
-// faster than to hash the destination.
-const fewClaims = 8
+// maxLinearClaims is the number of endpoints up to which they are compared one
+// by one, which is faster than hashing the destination.
+const maxLinearClaims = 8
 
-// Serves reports whether the server with the given identifier is in the pool
-// of the service that claims the destination of key. It is asked for each
-// packet of a flow.
+// Serves reports whether the server with the given ID is in the pool of the
+// service that claims the destination of key. It is called for each packet of a
+// flow.
 func (s *Snapshot) Serves(id bronzeflow.ServerID, key *bronzeflow.Key) bool {
 	if s == nil {
 		return false
@@ -154,7 +156,7 @@
 	if !ok {
 		return false
 	}
-	if len(*r.claims) > fewClaims {
+	if len(*r.claims) > maxLinearClaims {
 		return s.Match(key) == r.service
 	}
 	for i := range *r.claims {
@@ -166,15 +168,15 @@
 	return false
 }
 
-// Refusal tells why a record is not in force as published. Field is the path
-// of what is wrong, or empty for the record as a whole.
+// Refusal is a reason why a record is not in force as published. Field is the
+// path of the faulty field, or empty for the record as a whole.
 type Refusal struct {
 	Record string
 	Field  string
 	Reason string
 }
 
-// Error describes the refusal.
+// Error returns the record, the field if any, and the reason.
 func (r Refusal) Error() string {
 	if r.Field == "" {
 		return r.Record + ": " + r.Reason
@@ -182,8 +184,8 @@
 	return r.Record + ": " + r.Field + ": " + r.Reason
 }
 
-// VM is an entry of the platform's list of live and leaving VMs. The list
-// lags, so it is a hint only.
+// VM is an entry of the platform's list of live and leaving VMs. The list may be
+// out of date, so it is only a hint.
 type VM struct {
 	Name             string
 	AvailabilityZone string
--- a/bronzeconf/store.go
+++ b/bronzeconf/store.go
@@ -9,21 +9,22 @@
 	"github.com/pkg/errors"
 )
 
-// ErrStale says that an index is older than the one in force.
+// ErrStale means that an index is older than the one in force.
 var ErrStale = errors.New("revision is older than the one in force")
 
 // The reasons that Store.Count is called with.
 const (
 	// IndexStale: an index older than the one in force was offered.
 	IndexStale = "IndexStale"
-	// RecordStale: a record older than the one in force was offered.
+	// RecordStale: a body older than the one in force, or not newer than a
+	// removed record of the same name, was offered.
 	RecordStale = "RecordStale"
 	// RecordRefused: a record was refused for its own faults.
 	RecordRefused = "RecordRefused"
 	// RecordTooNew: a record was refused for its schema version.
 	RecordTooNew = "RecordTooNew"
-	// RecordConflict: a part of a record was refused because another record
-	// has claimed it.
+	// RecordConflict: a record or a part of it was refused because another
+	// record has claimed the same.
 	RecordConflict = "RecordConflict"
 )
 
@@ -33,26 +34,27 @@
 	Revision uint64
 }
 
-// StoredRecord is one revision of a record with its body, which nobody may
-// change any more.
+// StoredRecord is one revision of a record with its body, which must not be
+// modified.
 type StoredRecord struct {
 	Name     string
 	Revision uint64
 	Body     []byte
 }
 
-// Store holds the last good version of each record and the revision of the
-// index in force, in memory only. The zero Store is empty and ready. All
-// methods may be called concurrently.
+// Store holds the last good version of each record and the revision of the index
+// in force, in memory only. The zero Store is empty and ready to use. All
+// methods are safe for concurrent use.
 type Store struct {
-	// OnChange is called with each new Snapshot, one call at a time. It
-	// mustn't call Apply.
+	// OnChange, if set, is called with each new Snapshot, one call at a time.
+	// It must not call Apply.
 	OnChange func(*Snapshot)
-	// Count counts an event of the given reason.
+	// Count, if set, counts an event of the given reason.
 	Count func(reason string)
 
-	// apply makes the order of the calls to OnChange that of the changes.
-	apply    sync.Mutex
+	// applyMu is held while a change is applied, so that OnChange is called
+	// in the order of the changes.
+	applyMu  sync.Mutex
 	snapshot atomic.Pointer[Snapshot]
 
 	mu        sync.Mutex
@@ -62,7 +64,7 @@
 	conflicts map[Refusal]bool
 }
 
-// Snapshot returns what is in force, never nil.
+// Snapshot returns the Snapshot in force, which is never nil.
 func (s *Store) Snapshot() *Snapshot {
 	if v := s.snapshot.Load(); v != nil {
 		return v
@@ -70,21 +72,21 @@
 	return &Snapshot{}
 }
 
-// Revision returns the revision of the index in force, 0 before the first.
+// Revision returns the revision of the index in force, or 0 if there is none.
 func (s *Store) Revision() uint64 {
 	return s.Snapshot().Revision
 }
 
-// Apply takes in an index of revision rev, which lists the records that are
-// present, with bodies of some of them, whether they come from the platform
-// or from a peer. Revisions never fall: an older index is refused whole with
-// ErrStale, and an older body of a record is ignored. A record that is absent
-// from a newer index is removed. A body with faults leaves the last good one
-// in force. An index of the revision in force only adds bodies. Apply keeps
-// the bodies; changed tells whether there is a new Snapshot.
+// Apply takes in an index of revision rev, which lists the records present, and
+// bodies of some of them, from the platform or from a peer. Revisions never
+// decrease: an older index is refused as a whole with ErrStale, and an older body
+// of a record is ignored. A record that a newer index doesn't list is removed. A
+// body with faults leaves the last good one in force. An index of the revision
+// in force only adds bodies. Apply retains the bodies; changed reports whether
+// there is a new Snapshot.
 func (s *Store) Apply(rev uint64, present []RecordVersion, bodies []StoredRecord) (changed bool, err error) {
-	s.apply.Lock()
-	defer s.apply.Unlock()
+	s.applyMu.Lock()
+	defer s.applyMu.Unlock()
 	snapshot, err := s.update(rev, present, bodies)
 	if err != nil || snapshot == nil {
 		return false, err
@@ -96,7 +98,7 @@
 	return true, nil
 }
 
-// update returns the new Snapshot, nil if nothing changed.
+// update returns the new Snapshot, or nil if nothing changed.
 func (s *Store) update(rev uint64, present []RecordVersion, bodies []StoredRecord) (*Snapshot, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,9 +108,9 @@
 	}
 	changed := rev > s.revision
 	if changed {
-		s.setPresent(rev, present)
+		s.setIndex(rev, present)
 	}
-	for _, r := range byRevision(bodies) {
+	for _, r := range sortedByRevision(bodies) {
 		if s.setBody(r) {
 			changed = true
 		}
@@ -119,9 +121,10 @@
 	return s.build(), nil
 }
 
-// byRevision puts older bodies first, so that of several bodies of a record
-// each can raise it.
-func byRevision(bodies []StoredRecord) []StoredRecord {
+// sortedByRevision returns bodies sorted by name and revision. With lower
+// revisions first, each of several bodies of a record is newer than those
+// before it.
+func sortedByRevision(bodies []StoredRecord) []StoredRecord {
 	sorted := slices.Clone(bodies)
 	slices.SortFunc(sorted, func(a, b StoredRecord) int {
 		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Revision, b.Revision))
@@ -129,8 +132,8 @@
 	return sorted
 }
 
-// setPresent replaces the set of records.
-func (s *Store) setPresent(rev uint64, present []RecordVersion) {
+// setIndex replaces the set of records.
+func (s *Store) setIndex(rev uint64, present []RecordVersion) {
 	records := make(map[string]*entry, len(present))
 	for _, v := range present {
 		e := s.records[v.Name]
@@ -143,33 +146,33 @@
 	}
 	for name, e := range s.records {
 		if records[name] == nil {
-			s.remove(name, removal{record: e.highest(), index: rev})
+			s.rememberRemoval(name, removal{record: e.highest(), index: rev})
 		}
 	}
 	s.revision = rev
 	s.records = records
 }
 
-// removal remembers a record that is gone.
+// removal is the tombstone of a removed record.
 type removal struct {
-	// record is the highest revision that was known of the record.
+	// record is the highest known revision of the record.
 	record uint64
 	// index is the revision of the index that removed it.
 	index uint64
 }
 
-// maxRemoved bounds the removals that are remembered, about 1 MB.
-const maxRemoved = 10_000
+// maxRemovals limits the removals that are kept, which take about 1 MB.
+const maxRemovals = 10_000
 
-// remove remembers how far a removed record had come. Without that, a peer
-// that missed the removal could hand over its old body once the name is
-// published again. Nothing is forgotten before thousands of later removals.
-func (s *Store) remove(name string, gone removal) {
+// rememberRemoval keeps the highest revision of a removed record. Without it, a
+// peer that missed the removal could bring back its old body once the name is
+// published again. Beyond maxRemovals, the oldest removal is dropped.
+func (s *Store) rememberRemoval(name string, gone removal) {
 	if s.removed == nil {
 		s.removed = make(map[string]removal)
 	}
 	s.removed[name] = gone
-	if len(s.removed) <= maxRemoved {
+	if len(s.removed) <= maxRemovals {
 		return
 	}
 	oldest := name
@@ -181,7 +184,7 @@
 	delete(s.removed, oldest)
 }
 
-// setBody takes a body in and tells whether anything changed.
+// setBody takes in a body and reports whether anything changed.
 func (s *Store) setBody(r StoredRecord) (changed bool) {
 	e := s.records[r.Name]
 	if e == nil {
@@ -210,7 +213,7 @@
 	return snapshot
 }
 
-// countConflicts counts those that the last Snapshot didn't have.
+// countConflicts counts the conflicts that the previous Snapshot didn't have.
 func (s *Store) countConflicts(refusals []Refusal) {
 	conflicts := make(map[Refusal]bool, len(refusals))
 	for _, r := range refusals {
--- a/bronzeconf/store_test.go
+++ b/bronzeconf/store_test.go
@@ -32,8 +32,8 @@
 	require.NoError(t, err)
 }
 
-// pull brings s to the state of peer.
-func pull(t require.TestingT, s, peer *Store) (bodies []StoredRecord) {
+// syncFrom brings s to the state of peer.
+func syncFrom(t require.TestingT, s, peer *Store) (bodies []StoredRecord) {
 	rev, present, bodies := peer.Diff(s.Have())
 	_, err := s.Apply(rev, present, bodies)
 	require.NoError(t, err)
@@ -54,7 +54,7 @@
 	return func(reason string) { n[reason]++ }, n
 }
 
-func TestStoreKeepsLastGoodBetweenGoodRecords(t *testing.T) {
+func TestStoreFaultyRecord(t *testing.T) {
 	// An operator publishes three records, the one in the middle with a typing
 	// error. Callers of the first and third get the new version, those of the
 	// second keep what was in force. The operator sees the field; the next
@@ -75,7 +75,7 @@
 	require.Empty(t, s.Snapshot().Refusals)
 }
 
-func TestStoreRemovalIsFinal(t *testing.T) {
+func TestStoreRemoval(t *testing.T) {
 	// A service is removed. Then a peer wakes that slept through the removal
 	// and offers its older world, and after the name is published again, its
 	// old body. If either were taken, packets would go to servers that may
@@ -103,7 +103,7 @@
 	require.Equal(t, []string{"Brand 7"}, brands(s))
 }
 
-func TestStoreShowsNameThatCameBackTooLow(t *testing.T) {
+func TestStoreRepublishedTooLow(t *testing.T) {
 	s := &Store{}
 	apply(t, s, 4, liveRecord(t, 4))
 	apply(t, s, 5)
@@ -127,27 +127,27 @@
 	require.Equal(t, map[string]int{RecordTooNew: 1}, n)
 
 	joining := &Store{}
-	require.Len(t, pull(t, joining, s), 2)
+	require.Len(t, syncFrom(t, joining, s), 2)
 	require.Equal(t, []string{"Brand 1"}, brands(joining))
 	require.Equal(t, s.Snapshot(), joining.Snapshot())
-	require.Empty(t, pull(t, joining, s))
+	require.Empty(t, syncFrom(t, joining, s))
 }
 
-func TestStoreJoinsFromLastGood(t *testing.T) {
+func TestStoreJoinLastGood(t *testing.T) {
 	// The newest version of a record has a fault while a balancer joins with
 	// the platform down. Its callers must meet the servers that all others
 	// use, so it gets the last good version, and says what it has.
 	s, joining := &Store{}, &Store{}
 	apply(t, s, 1, liveRecord(t, 1))
 	apply(t, s, 2, StoredRecord{Name: "live", Revision: 2, Body: []byte("{}")})
-	pull(t, joining, s)
+	syncFrom(t, joining, s)
 	require.Equal(t, uint64(2), joining.Revision())
 	require.Equal(t, []string{"Brand 1"}, brands(joining))
 	require.Contains(t, joining.Snapshot().Refusals[0].Reason, "1 is in force")
 	require.Equal(t, s.Digest(), joining.Digest())
 }
 
-func TestStorePeersEvenOutLastGood(t *testing.T) {
+func TestStoreExchangeLastGood(t *testing.T) {
 	// Two balancers read the index at different moments: one saw version 2,
 	// the other went from 1 to version 3, which has a fault. An accepted
 	// version must come into force everywhere, so the digests differ and an
@@ -159,12 +159,12 @@
 		apply(t, s, 3, StoredRecord{Name: "live", Revision: 3, Body: []byte("{}")})
 	}
 	require.NotEqual(t, a.Digest(), b.Digest())
-	pull(t, b, a)
+	syncFrom(t, b, a)
 	require.Equal(t, []string{"Brand 2"}, brands(b))
 	require.Equal(t, a.Digest(), b.Digest())
 }
 
-func TestStorePeersExchangeBelowTooNew(t *testing.T) {
+func TestStoreExchangeTooNew(t *testing.T) {
 	// Both balancers hold a version that is too new for them, and one of them
 	// is behind in the version that it knows. It gets that one alone.
 	tooNew := StoredRecord{Name: "live", Revision: 7, Body: []byte(tooNewRecord)}
@@ -173,11 +173,11 @@
 	apply(t, b, 1, liveRecord(t, 1))
 	apply(t, a, 7, tooNew)
 	apply(t, b, 7, tooNew)
-	require.Equal(t, []StoredRecord{liveRecord(t, 5)}, pull(t, b, a))
+	require.Equal(t, []StoredRecord{liveRecord(t, 5)}, syncFrom(t, b, a))
 	require.Equal(t, a.Snapshot(), b.Snapshot())
 }
 
-func TestStoreKeepsNewestRefusal(t *testing.T) {
+func TestStoreNewestRefusal(t *testing.T) {
 	s := &Store{}
 	apply(t, s, 3, StoredRecord{Name: "live", Revision: 3, Body: edited(t, `"Port":443`, `"Port":0`)})
 	apply(t, s, 3, StoredRecord{Name: "live", Revision: 2, Body: []byte("{}")})
@@ -185,7 +185,7 @@
 	require.Empty(t, s.Missing([]RecordVersion{{Name: "live", Revision: 3}}))
 }
 
-func TestStoreCallsOnChange(t *testing.T) {
+func TestStoreOnChange(t *testing.T) {
 	var seen []uint64
 	s := &Store{OnChange: func(s *Snapshot) { seen = append(seen, s.Revision) }}
 	require.NotNil(t, s.Snapshot())
@@ -197,7 +197,7 @@
 	require.Equal(t, []uint64{1, 2}, seen)
 }
 
-func TestStoreCountsEachConflictOnce(t *testing.T) {
+func TestStoreConflictCount(t *testing.T) {
 	count, n := counts()
 	s := &Store{Count: count}
 	claimant := testService("braille", "printout", 1)
@@ -208,14 +208,14 @@
 	require.Equal(t, map[string]int{RecordConflict: 1}, n)
 }
 
-func TestStoreBoundsWhatItRemembers(t *testing.T) {
+func TestStoreBounds(t *testing.T) {
 	s := &Store{}
-	for i := range uint64(maxRemoved + 10) {
-		s.remove(fmt.Sprint(i), removal{record: 1, index: i})
+	for i := range uint64(maxRemovals + 10) {
+		s.rememberRemoval(fmt.Sprint(i), removal{record: 1, index: i})
 	}
-	require.Len(t, s.removed, maxRemoved)
+	require.Len(t, s.removed, maxRemovals)
 	require.NotContains(t, s.removed, "9")
-	require.Len(t, bounded(make([]Refusal, 10*maxRefusals)), maxRefusals+1)
+	require.Len(t, truncateRefusals(make([]Refusal, 10*maxRefusals)), maxRefusals+1)
 }
 
 // published is one index that was in force, with bodies for its records.
@@ -264,8 +264,8 @@
 	return list
 }
 
-// checkStep says what no step may do to a store.
-func checkStep(t *rapid.T, history []published, before, after map[string]uint64, from, to uint64) {
+// requireMonotonic says what no step may do to a store.
+func requireMonotonic(t *rapid.T, history []published, before, after map[string]uint64, from, to uint64) {
 	require.GreaterOrEqual(t, to, from)
 	if to == 0 {
 		return
@@ -279,10 +279,10 @@
 	}
 }
 
-// TestStoreRevisionsNeverFall applies the indexes of an operator to three
+// TestStoreRevisionsMonotonic applies the indexes of an operator to three
 // stores in any order, some bodies missing, in between exchanges of the
 // stores, and brings them together at the end.
-func TestStoreRevisionsNeverFall(t *testing.T) {
+func TestStoreRevisionsMonotonic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		history := drawHistory(t)
 		stores := []*Store{{}, {}, {}}
@@ -301,12 +301,12 @@
 				_, err := s.Apply(p.rev, versions(p.bodies...), bodies)
 				require.Equal(t, p.rev < from, err != nil)
 			}
-			checkStep(t, history, before, inForce(s), from, s.Revision())
+			requireMonotonic(t, history, before, inForce(s), from, s.Revision())
 		}
 		last := published{rev: uint64(len(history)) + 1, bodies: []StoredRecord{liveRecord(t, 9)}}
 		apply(t, stores[0], last.rev, last.bodies...)
-		pull(t, stores[1], stores[0])
-		pull(t, stores[2], stores[1])
+		syncFrom(t, stores[1], stores[0])
+		syncFrom(t, stores[2], stores[1])
 		for _, s := range stores {
 			require.Equal(t, stores[0].Snapshot(), s.Snapshot())
 			require.Equal(t, []string{"Brand 9"}, brands(s))
--- a/bronzeconf/tree.go
+++ b/bronzeconf/tree.go
@@ -10,11 +10,11 @@
 	"github.com/pkg/errors"
 )
 
-// maxDepth bounds the nesting of a record. The schemas need three levels; the
-// bound keeps a hostile record from using the stack up.
+// maxDepth limits the nesting of a record. The schemas need three levels; the
+// limit keeps a malicious record from exhausting the stack.
 const maxDepth = 32
 
-// object is a JSON object with its members as written, repeated ones too.
+// object is a JSON object with all its members in order, including duplicates.
 type object []objectMember
 
 type objectMember struct {
@@ -25,10 +25,10 @@
 // list is a JSON array.
 type list []any
 
-// parseTree reads one JSON value and nothing after it. Its result is an
-// object, a list, a string, a json.Number, a bool or nil. encoding/json alone
-// stops at the first unknown field, takes names in any case and the last of
-// repeated members, so a record's faults couldn't all be listed.
+// parseTree parses body, which must be a single JSON value, into an object, a
+// list, a string, a json.Number, a bool or nil. Decoding with encoding/json into
+// a struct couldn't list all faults: it stops at the first unknown field,
+// ignores the case of names, and takes the last of duplicate members.
 func parseTree(body []byte) (v any, err error) {
 	var raw json.RawMessage
 	if err := json.Unmarshal(body, &raw); err != nil {
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// fill sets dst from a parsed value and notes what doesn't fit. What the
-// value leaves out stays as it is in dst.
+// fill sets dst from the parsed value v and adds a fault for whatever doesn't
+// fit. Fields of dst that v leaves out keep their values.
 func (f *faults) fill(path string, v any, dst reflect.Value) {
 	if u, ok := dst.Addr().Interface().(encoding.TextUnmarshaler); ok {
 		f.fillText(path, v, u)
@@ -150,11 +150,11 @@
 		field := dst.FieldByName(m.name)
 		switch {
 		case !field.IsValid():
-			f.add(member(path, m.name), "is not a field of this schema version")
+			f.add(fieldPath(path, m.name), "is not a field of this schema version")
 		case seen[m.name]:
-			f.add(member(path, m.name), "is given twice")
+			f.add(fieldPath(path, m.name), "is given twice")
 		default:
-			f.fill(member(path, m.name), m.value, field)
+			f.fill(fieldPath(path, m.name), m.value, field)
 		}
 		seen[m.name] = true
 	}
@@ -168,7 +168,7 @@
 	}
 	dst.Set(reflect.MakeSlice(dst.Type(), len(l), len(l)))
 	for i, e := range l {
-		f.fill(element(path, i), e, dst.Index(i))
+		f.fill(elementPath(path, i), e, dst.Index(i))
 	}
 }
 
