--- a/bronzeconf/bench_test.go
+++ b/bronzeconf/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// benchHosts are the hosts of a deployment, with 16 of them in each service.
+// benchHosts are numbers of hosts in a deployment, with 16 in each service.
 var benchHosts = []int{18, 320, 1600, 5100}
 
 func benchRecords(b *testing.B, hosts int) (bodies []StoredRecord) {
@@ -24,7 +24,7 @@
 	return bodies
 }
 
-// BenchmarkChange is a change of one record among all, up to the Snapshot.
+// BenchmarkChange measures a change of one record among all, up to the Snapshot.
 func BenchmarkChange(b *testing.B) {
 	for _, hosts := range benchHosts {
 		bodies := benchRecords(b, hosts)
@@ -40,7 +40,7 @@
 	}
 }
 
-// BenchmarkStart is a start from a peer's records.
+// BenchmarkStart measures a start from a peer's records.
 func BenchmarkStart(b *testing.B) {
 	for _, hosts := range benchHosts {
 		bodies := benchRecords(b, hosts)
--- a/bronzeconf/build_test.go
+++ b/bronzeconf/build_test.go
@@ -45,8 +45,8 @@
 }
 
 func TestBuildPartialConflict(t *testing.T) {
-	// What the callers of "printout" see: the operator gave it an address of
-	// "map-live" as well. Packets to that address go to map-live, those to
+	// The operator gave "printout" an address of "map-live" in addition to
+	// its own. Packets to the shared address go to map-live, those to
 	// printout's own address still to printout.
 	first := testService("agency", "map-live", 1)
 	second := testService("braille", "printout", 2)
@@ -62,7 +62,7 @@
 	require.Equal(t, []Refusal{{Record: "a", Reason: "another record has the same name"}}, refusals)
 }
 
-// drawRecords draws records that often claim the same things.
+// drawRecords draws records that often conflict.
 func drawRecords(t *rapid.T) (records []Record) {
 	few := func(label string) byte { return byte(rapid.IntRange(1, 4).Draw(t, label)) }
 	for i := range rapid.IntRange(0, 6).Draw(t, "records") {
@@ -88,8 +88,8 @@
 	})
 }
 
-// TestBuildAgainstNaive compares Match with a search through the records from
-// the lowest name on.
+// TestBuildAgainstNaive compares Match with a linear search through the records,
+// which are drawn in the order of their names.
 func TestBuildAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records := drawRecords(t)
--- a/bronzeconf/decode_test.go
+++ b/bronzeconf/decode_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// edited returns a good record of version 2 with old replaced by new.
+// edited returns a valid record of version 2 with old replaced by replacement.
 func edited(t testing.TB, old, replacement string) []byte {
 	v := testService("agency", "map-live", 1)
 	v.Pool = append(v.Pool, testServer("map-live-2", 2))
@@ -153,8 +153,8 @@
 	require.NotEmpty(t, index.Records)
 }
 
-// FuzzDecode checks that a record is either refused with reasons or means the
-// same when it is written again.
+// FuzzDecode checks that a record is either refused with reasons, or decodes to
+// the same service after being encoded again.
 func FuzzDecode(f *testing.F) {
 	for _, b := range examples(f) {
 		f.Add(b)
@@ -174,7 +174,7 @@
 	})
 }
 
-// rewritten passes a record through encoding/json, the naive decoder.
+// rewritten decodes a record with encoding/json and encodes it again.
 func rewritten(t *testing.T, version int, record []byte) []byte {
 	if version == SchemaV1 {
 		var v ServiceV1
--- a/bronzeconf/reader_test.go
+++ b/bronzeconf/reader_test.go
@@ -21,7 +21,7 @@
 	"bronzeusher.example/bronzeusher/bronzetest"
 )
 
-// inForceWithin is how soon a publication must be in force on a balancer.
+// inForceWithin is the time within which a publication must be in force.
 const inForceWithin = 5 * time.Second
 
 func record(t *testing.T, name, brand string) []byte {
@@ -41,7 +41,7 @@
 	return rev
 }
 
-// following is a platform and a store that follows it inside a bubble.
+// following is a platform, and a store that a reader keeps up to date with it.
 type following struct {
 	platform bronzetest.Platform
 	store    bronzeconf.Store
@@ -64,8 +64,7 @@
 	return maps.Clone(f.counts)
 }
 
-// follow runs test in a bubble, with a reader from the moment that test calls
-// the function that it is given.
+// follow runs test in a synctest bubble. The reader starts when test calls start.
 func follow(t *testing.T, test func(t *testing.T, f *following, start func())) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &following{counts: make(map[string]int)}
@@ -81,7 +80,7 @@
 	})
 }
 
-// wait lets d pass.
+// wait advances the bubble's time by d and waits for all goroutines to block.
 func wait(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
@@ -94,14 +93,14 @@
 	return list
 }
 
-// handOver gives the store a peer's index of the record "a" alone.
+// handOver applies a peer's index that lists only the record "a".
 func (f *following) handOver(t *testing.T, rev uint64, body []byte) {
 	present := []bronzeconf.RecordVersion{{Name: "a", Revision: rev}}
 	_, err := f.store.Apply(rev, present, []bronzeconf.StoredRecord{{Name: "a", Revision: rev, Body: body}})
 	require.NoError(t, err)
 }
 
-func TestReaderFollows(t *testing.T) {
+func TestReaderUpdates(t *testing.T) {
 	follow(t, func(t *testing.T, f *following, start func()) {
 		publish(t, &f.platform, "a", record(t, "a", "one"))
 		publish(t, &f.platform, "b", record(t, "b", "two"))
@@ -113,7 +112,7 @@
 		synctest.Wait()
 		require.Equal(t, []string{"three", "two"}, f.brands())
 		require.Equal(t, rev, f.store.Revision())
-		require.Equal(t, 2, f.platform.Reads()-reads, "one changed record and the next watch")
+		require.Equal(t, 2, f.platform.Reads()-reads, "only the changed record and the next watch")
 		publish(t, &f.platform, "a", nil)
 		synctest.Wait()
 		require.Equal(t, []string{"two"}, f.brands())
@@ -121,10 +120,10 @@
 	})
 }
 
-func TestReaderPlatformDownFromTheStart(t *testing.T) {
-	// The platform is down when a balancer starts, so the balancer takes the
-	// configuration of a peer and callers are served. Hours later the platform
-	// comes back with a newer index, which is in force within seconds.
+func TestReaderPlatformDownAtStart(t *testing.T) {
+	// The platform is down when a balancer starts, so the balancer gets the
+	// configuration from a peer. Hours later the platform comes back with a
+	// newer index, which must be in force within seconds.
 	follow(t, func(t *testing.T, f *following, start func()) {
 		body := record(t, "a", "peer's")
 		rev := publish(t, &f.platform, "a", body)
@@ -143,9 +142,9 @@
 }
 
 func TestReaderStalePlatform(t *testing.T) {
-	// A replica of the platform lags behind while peers hand over newer
-	// records. Callers keep the newer ones: the older index is counted and
-	// ignored, and once the replica catches up the reader goes on from there.
+	// A replica of the platform lags behind while peers provide newer records.
+	// The newer ones must stay in force: the older index is counted and
+	// ignored, and the reader continues once the replica has caught up.
 	follow(t, func(t *testing.T, f *following, start func()) {
 		old := publish(t, &f.platform, "a", record(t, "a", "one"))
 		body := record(t, "a", "two")
@@ -163,10 +162,10 @@
 	})
 }
 
-func TestReaderPlatformGoesBack(t *testing.T) {
+func TestReaderPlatformRollback(t *testing.T) {
 	// The platform fails over to a replica that is two publications behind, one
-	// of which removed a service. The removed service stays away, whatever the
-	// replica shows and for how long; the next publication is taken.
+	// of which removed a service. However long the replica stays behind, the
+	// removed service must not come back; the next publication is applied.
 	follow(t, func(t *testing.T, f *following, start func()) {
 		old := publish(t, &f.platform, "a", record(t, "a", "one"))
 		publish(t, &f.platform, "b", record(t, "b", "two"))
@@ -185,14 +184,14 @@
 }
 
 func TestReaderUnreadableRecord(t *testing.T) {
-	// Of three changed records one can't be read, again and again. The other
-	// two are in force within seconds all the same, and the third as soon as
-	// it can be read, though the index doesn't change any more.
+	// One of three changed records repeatedly can't be read. The other two must
+	// be in force within seconds, and the third as soon as it can be read, even
+	// though the index doesn't change again.
 	follow(t, func(t *testing.T, f *following, start func()) {
-		var mended atomic.Bool
+		var readable atomic.Bool
 		read := f.reader.Platform.Read
 		f.reader.Platform.Read = func(ctx context.Context, name string) (bronzeconf.Value, error) {
-			if !mended.Load() && name == "b" {
+			if !readable.Load() && name == "b" {
 				return bronzeconf.Value{}, errors.New("no answer")
 			}
 			return read(ctx, name)
@@ -205,15 +204,15 @@
 		require.Equal(t, []string{"a", "c"}, f.brands())
 		require.NotZero(t, f.counted()[bronzeconf.RecordUnread])
 		wait(time.Minute)
-		mended.Store(true)
+		readable.Store(true)
 		wait(inForceWithin)
 		require.Equal(t, []string{"a", "b", "c"}, f.brands())
 	})
 }
 
 func TestReaderBadIndex(t *testing.T) {
-	// An operator publishes an index with a fault. What was in force stays,
-	// the fault is counted once, and the next good index is taken.
+	// An operator publishes an index with a fault. The configuration in force
+	// must stay, the fault is counted once, and the next valid index is applied.
 	follow(t, func(t *testing.T, f *following, start func()) {
 		bad := bronzeconf.Value{Revision: 2, Body: []byte(`{"Revision":2,"Records":[{"Name":"a/b","Revision":1}]}`)}
 		watch := f.reader.Platform.Watch
@@ -251,16 +250,16 @@
 	})
 }
 
-func TestReaderBoundsItsReads(t *testing.T) {
-	// Each call counts against what the platform bears, whether it is idle,
+func TestReaderCallRate(t *testing.T) {
+	// The rate of calls to the platform must stay bounded, whether it is idle,
 	// down, or answers watches without waiting.
 	tests := map[string]func(f *following){
 		"idle": func(*following) {},
 		"down": func(f *following) { f.platform.SetDown(true) },
 		"no wait": func(f *following) {
-			seam := f.platform.Seam()
+			source := f.platform.Seam()
 			f.reader.Platform.Watch = func(ctx context.Context, name string, _ uint64) (bronzeconf.Value, error) {
-				return seam.Read(ctx, name)
+				return source.Read(ctx, name)
 			}
 		},
 	}
@@ -311,9 +310,9 @@
 	require.ErrorContains(t, err, "read VM list: status 503")
 }
 
-func TestHTTPPlatformBoundsTheBody(t *testing.T) {
-	// A value over the limit is published. It is read up to where the limit is
-	// passed, so that its record is refused by name and memory is bounded.
+func TestHTTPPlatformBodyLimit(t *testing.T) {
+	// A value over the limit is published. It is read only one byte past the
+	// limit, so that memory is bounded and the record is refused for its length.
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(bronzeconf.RevisionHeader, "1")
 		_, _ = w.Write([]byte(strings.Repeat(" ", 2*bronzeconf.MaxRecordBytes)))
--- a/bronzeconf/record_test.go
+++ b/bronzeconf/record_test.go
@@ -10,7 +10,7 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// testService returns a record without faults that claims what n says.
+// testService returns a valid record whose address and server address end in n.
 func testService(customer, name string, n byte) ServiceV2 {
 	v := NewServiceV2()
 	v.Customer = customer
--- a/bronzeconf/seed_test.go
+++ b/bronzeconf/seed_test.go
@@ -6,8 +6,8 @@
 	_ "pgregory.net/rapid" // registers the flag
 )
 
-// The properties draw the same values on every run, so that a run's verdict
-// says something about the code and not about the draw.
+// A fixed seed makes the property tests draw the same values in every run, so
+// that a changed result means changed code.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
--- a/bronzeconf/store_test.go
+++ b/bronzeconf/store_test.go
@@ -11,8 +11,8 @@
 
 const tooNewRecord = `{"SchemaVersion":3,"Customer":"agency"}`
 
-// liveRecord is a good body of the service "map-live" that tells its revision
-// by its brand.
+// liveRecord returns a valid record of the service "map-live" whose brand names
+// its revision.
 func liveRecord(t require.TestingT, rev uint64) StoredRecord {
 	v := testService("agency", "map-live", 1)
 	v.Brand = fmt.Sprint("Brand ", rev)
@@ -26,13 +26,13 @@
 	return present
 }
 
-// apply gives s an index that lists just the records of bodies.
+// apply applies an index to s that lists exactly the records of bodies.
 func apply(t require.TestingT, s *Store, rev uint64, bodies ...StoredRecord) {
 	_, err := s.Apply(rev, versions(bodies...), bodies)
 	require.NoError(t, err)
 }
 
-// syncFrom brings s to the state of peer.
+// syncFrom brings s to the state of peer and returns the bodies transferred.
 func syncFrom(t require.TestingT, s, peer *Store) (bodies []StoredRecord) {
 	rev, present, bodies := peer.Diff(s.Have())
 	_, err := s.Apply(rev, present, bodies)
@@ -40,7 +40,7 @@
 	return bodies
 }
 
-// brands returns the brands in force, which liveRecord makes tell revisions.
+// brands returns the brands in force; those of liveRecord name revisions.
 func brands(s *Store) (list []string) {
 	for _, svc := range s.Snapshot().Services {
 		list = append(list, svc.Brand)
@@ -48,17 +48,17 @@
 	return list
 }
 
-// counts returns a Count function and what it has counted.
+// counts returns a Count function and the map of its counts.
 func counts() (func(string), map[string]int) {
 	n := make(map[string]int)
 	return func(reason string) { n[reason]++ }, n
 }
 
 func TestStoreFaultyRecord(t *testing.T) {
-	// An operator publishes three records, the one in the middle with a typing
-	// error. Callers of the first and third get the new version, those of the
-	// second keep what was in force. The operator sees the field; the next
-	// version without the error goes into force and ends the refusal.
+	// An operator publishes three records, the middle one with a mistake. The
+	// new versions of the first and third must come into force, and the last
+	// good version of the second must stay. The refusal names the field, and the
+	// next version without the mistake comes into force and ends the refusal.
 	count, n := counts()
 	s := &Store{Count: count}
 	first := StoredRecord{Name: "a", Revision: 1, Body: body(t, testService("braille", "proofdesk", 2))}
@@ -76,18 +76,18 @@
 }
 
 func TestStoreRemoval(t *testing.T) {
-	// A service is removed. Then a peer wakes that slept through the removal
-	// and offers its older world, and after the name is published again, its
-	// old body. If either were taken, packets would go to servers that may
-	// belong to another Customer by now.
+	// A service is removed. A peer that missed the removal then offers its older
+	// index and, after the name is published again, its old body. If either were
+	// accepted, packets would go to servers that may now belong to another
+	// Customer.
 	count, n := counts()
-	s, sleeper := &Store{Count: count}, &Store{}
+	s, outdated := &Store{Count: count}, &Store{}
 	apply(t, s, 4, liveRecord(t, 4))
-	apply(t, sleeper, 4, liveRecord(t, 4))
+	apply(t, outdated, 4, liveRecord(t, 4))
 	apply(t, s, 5)
 	require.Empty(t, s.Snapshot().Services)
 
-	rev, present, bodies := sleeper.Diff(s.Have())
+	rev, present, bodies := outdated.Diff(s.Have())
 	require.Len(t, bodies, 1)
 	_, err := s.Apply(rev, present, bodies)
 	require.ErrorIs(t, err, ErrStale)
@@ -115,9 +115,9 @@
 
 func TestStoreTooNewSchema(t *testing.T) {
 	// During a rollout an operator publishes a record of a schema version that
-	// only some balancers know. The others keep the version that they know
-	// and say so. They hand both on: a balancer that joins from them has at
-	// least the known version, and a newer build gets the newest one too.
+	// only some balancers know. The others keep the version that they know and
+	// report a refusal. They pass on both versions: a balancer that joins from
+	// them gets at least the known version, and a newer build also the newest.
 	count, n := counts()
 	s := &Store{Count: count}
 	apply(t, s, 1, liveRecord(t, 1))
@@ -134,9 +134,9 @@
 }
 
 func TestStoreJoinLastGood(t *testing.T) {
-	// The newest version of a record has a fault while a balancer joins with
-	// the platform down. Its callers must meet the servers that all others
-	// use, so it gets the last good version, and says what it has.
+	// A balancer joins while the platform is down and the newest version of a
+	// record has a fault. It must use the same servers as all others, so it gets
+	// the last good version, and its refusal names the version in force.
 	s, joining := &Store{}, &Store{}
 	apply(t, s, 1, liveRecord(t, 1))
 	apply(t, s, 2, StoredRecord{Name: "live", Revision: 2, Body: []byte("{}")})
@@ -148,10 +148,10 @@
 }
 
 func TestStoreExchangeLastGood(t *testing.T) {
-	// Two balancers read the index at different moments: one saw version 2,
-	// the other went from 1 to version 3, which has a fault. An accepted
-	// version must come into force everywhere, so the digests differ and an
-	// exchange at one revision brings version 2 over.
+	// Two balancers read the index at different times: one saw version 2, the
+	// other went from 1 to version 3, which has a fault. An accepted version
+	// must come into force everywhere, so the digests must differ, and an
+	// exchange at the same index revision transfers version 2.
 	a, b := &Store{}, &Store{}
 	apply(t, a, 2, liveRecord(t, 2))
 	apply(t, b, 1, liveRecord(t, 1))
@@ -166,7 +166,7 @@
 
 func TestStoreExchangeTooNew(t *testing.T) {
 	// Both balancers hold a version that is too new for them, and one of them
-	// is behind in the version that it knows. It gets that one alone.
+	// has an older good version. It must get only the newer good version.
 	tooNew := StoredRecord{Name: "live", Revision: 7, Body: []byte(tooNewRecord)}
 	a, b := &Store{}, &Store{}
 	apply(t, a, 5, liveRecord(t, 5))
@@ -218,13 +218,13 @@
 	require.Len(t, truncateRefusals(make([]Refusal, 10*maxRefusals)), maxRefusals+1)
 }
 
-// published is one index that was in force, with bodies for its records.
+// published is a published index with the bodies of its records.
 type published struct {
 	rev    uint64
 	bodies []StoredRecord
 }
 
-// drawHistory draws what an operator published: each index changes, breaks or
+// drawHistory draws a series of published indexes. Each changes, breaks or
 // removes some records.
 func drawHistory(t *rapid.T) (history []published) {
 	bodies := make(map[string]StoredRecord)
@@ -253,7 +253,7 @@
 	return history
 }
 
-// inForce returns the good revision of each record.
+// inForce returns the last good revision of each record.
 func inForce(s *Store) map[string]uint64 {
 	list := make(map[string]uint64)
 	for _, v := range s.Have() {
@@ -264,7 +264,8 @@
 	return list
 }
 
-// requireMonotonic says what no step may do to a store.
+// requireMonotonic checks that a step from index revision from to revision to
+// decreased no revision, and that each good revision is at most the listed one.
 func requireMonotonic(t *rapid.T, history []published, before, after map[string]uint64, from, to uint64) {
 	require.GreaterOrEqual(t, to, from)
 	if to == 0 {
@@ -279,9 +280,9 @@
 	}
 }
 
-// TestStoreRevisionsMonotonic applies the indexes of an operator to three
-// stores in any order, some bodies missing, in between exchanges of the
-// stores, and brings them together at the end.
+// TestStoreRevisionsMonotonic applies published indexes to three stores in any
+// order, with some bodies missing and with exchanges between the stores, and
+// finally brings all stores to the same state.
 func TestStoreRevisionsMonotonic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		history := drawHistory(t)
