--- a/bronzeconf/entry.go
+++ b/bronzeconf/entry.go
@@ -38,7 +38,7 @@
 	return revision > max(e.good.Revision, e.refused, e.floor)
 }
 
-// setBody takes in a body. reason is the event to count, or empty.
+// setBody applies a body. reason is the event to count, or empty.
 func (e *entry) setBody(r StoredRecord) (reason string, changed bool) {
 	if r.Revision <= max(e.good.Revision, e.floor) {
 		if r.Revision < max(e.good.Revision, e.floor+1) {
--- a/bronzeconf/store.go
+++ b/bronzeconf/store.go
@@ -77,7 +77,7 @@
 	return s.Snapshot().Revision
 }
 
-// Apply takes in an index of revision rev, which lists the records present, and
+// Apply applies an index of revision rev, which lists the records present, and
 // bodies of some of them, from the platform or from a peer. Revisions never
 // decrease: an older index is refused as a whole with ErrStale, and an older body
 // of a record is ignored. A record that a newer index doesn't list is removed. A
@@ -184,7 +184,7 @@
 	delete(s.removed, oldest)
 }
 
-// setBody takes in a body and reports whether anything changed.
+// setBody applies a body and reports whether anything changed.
 func (s *Store) setBody(r StoredRecord) (changed bool) {
 	e := s.records[r.Name]
 	if e == nil {
--- a/bronzeflow/doc.go
+++ b/bronzeflow/doc.go
@@ -5,7 +5,7 @@
 // A Key holds the caller's and the service's endpoints and nothing else of a
 // transport header, so the balancing logic can be driven by real packets or by
 // any other source. Hash and Mix return the same numbers in every process,
-// since balancers agree on owners and candidates by computing them alike.
+// since balancers agree on owners and candidates by each computing them.
 //
 // A Table is divided into Shards parts, each with its own lock, so that workers
 // on different flows rarely contend. Its entries hold no pointers. Its size is
--- a/bronzepool/choose.go
+++ b/bronzepool/choose.go
@@ -56,8 +56,8 @@
 // it is the flow's first candidate in the order of Candidates, so that other
 // nodes can derive it. With ignoreLoad set it picks the first available
 // candidate whatever its load, except that hard limits hold and servers that
-// time out come last, so that both sides of a partition choose alike. ok is
-// false if no server may take the flow.
+// time out come last, so that both sides of a partition make the same
+// choice. ok is false if no server may take the flow.
 func (p *Pool) Choose(hash uint64, tried []bronzeflow.ServerID, ignoreLoad bool) (id bronzeflow.ServerID, first, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/bronzepool/doc.go
+++ b/bronzepool/doc.go
@@ -3,7 +3,7 @@
 // goroutines.
 //
 // The candidates of a flow are the servers of its service's pool in rendezvous
-// hashing order, which every node computes alike. A Pool chooses the first
+// hashing order, which is the same on every node. A Pool chooses the first
 // candidate unless the load of that server exceeds a bound relative to its
 // fair share, so other nodes can derive the server of most flows from the key
 // alone. The load is estimated from three sources: the flows that this node
--- a/bronzepool/limits_test.go
+++ b/bronzepool/limits_test.go
@@ -64,23 +64,23 @@
 // out, both Customers converge to the fair share.
 func TestAdmissionFairShare(t *testing.T) {
 	a := Admission{HalfOpen: 300}
-	storm := newAccount(&a, "Storm", "web", bronzeconf.Limits{})
-	calm := newAccount(&a, "Calm", "web", bronzeconf.Limits{})
+	flood := newAccount(&a, "Storm", "web", bronzeconf.Limits{})
+	other := newAccount(&a, "Calm", "web", bronzeconf.Limits{})
 	for range 1000 {
-		storm.Admit()
+		flood.Admit()
 	}
-	require.Equal(t, NodeHalfOpenDenied, storm.Admit())
+	require.Equal(t, NodeHalfOpenDenied, flood.Admit())
 	const want = 75
 	for range want {
-		require.Equal(t, Admitted, calm.Admit())
+		require.Equal(t, Admitted, other.Admit())
 	}
 	for range 1000 {
-		storm.Ended(false)
-		storm.Admit()
-		calm.Admit()
+		flood.Ended(false)
+		flood.Admit()
+		other.Admit()
 	}
-	require.InDelta(t, 100, calm.halfOpen, 2)
-	require.InDelta(t, 100, storm.halfOpen, 2)
+	require.InDelta(t, 100, other.halfOpen, 2)
+	require.InDelta(t, 100, flood.halfOpen, 2)
 }
 
 func TestAdmissionCounts(t *testing.T) {
--- a/bronzepool/pool.go
+++ b/bronzepool/pool.go
@@ -171,7 +171,7 @@
 	}
 }
 
-// Observe takes in a report. The load in a report older than the last one is
+// Observe processes a report. The load in a report older than the last one is
 // ignored.
 func (p *Pool) Observe(r Report) {
 	p.mu.Lock()
--- a/bronzepool/report.go
+++ b/bronzepool/report.go
@@ -80,7 +80,7 @@
 	contradictions uint64
 }
 
-// observe takes in a report. A report older than the last one is ignored. One
+// observe processes a report. A report older than the last one is ignored. One
 // from a clock that is ahead is dated now; otherwise it would block all later
 // reports until that time.
 func (s *server) observe(r *Report, now int64) {
--- a/bronzepool/scenario_test.go
+++ b/bronzepool/scenario_test.go
@@ -205,8 +205,8 @@
 				p.SetLeaving(b.ID, ReportedLeavingHold)
 			}
 		}
-		for _, plain := range []bool{true, false} {
-			_, _, ok := p.Choose(42, nil, plain)
+		for _, ignoreLoad := range []bool{true, false} {
+			_, _, ok := p.Choose(42, nil, ignoreLoad)
 			require.False(t, ok)
 		}
 		require.Len(t, p.Candidates(42, 4, nil), 4, "existing flows must still be found")
