--- a/bronzeconf/reader_test.go
+++ b/bronzeconf/reader_test.go
@@ -68,7 +68,7 @@
 func follow(t *testing.T, test func(t *testing.T, f *following, start func())) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &following{counts: make(map[string]int)}
-		f.reader.Platform = f.platform.Seam()
+		f.reader.Platform = f.platform.Adapter()
 		f.reader.Store = &f.store
 		f.reader.Count = f.count
 		ctx, cancel := context.WithCancel(t.Context())
@@ -257,7 +257,7 @@
 		"idle": func(*following) {},
 		"down": func(f *following) { f.platform.SetDown(true) },
 		"no wait": func(f *following) {
-			source := f.platform.Seam()
+			source := f.platform.Adapter()
 			f.reader.Platform.Watch = func(ctx context.Context, name string, _ uint64) (bronzeconf.Value, error) {
 				return source.Read(ctx, name)
 			}
--- a/bronzetest/platform.go
+++ b/bronzetest/platform.go
@@ -99,8 +99,8 @@
 	return p.reads
 }
 
-// Seam returns p as a node reads it without HTTP.
-func (p *Platform) Seam() bronzeconf.Platform {
+// Adapter returns p as a node reads it without HTTP.
+func (p *Platform) Adapter() bronzeconf.Platform {
 	return bronzeconf.Platform{
 		Read: func(ctx context.Context, name string) (bronzeconf.Value, error) {
 			return p.read(ctx, name, 0, 0)
--- a/bronzetest/platform_test.go
+++ b/bronzetest/platform_test.go
@@ -16,7 +16,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		*v, *err = p.Seam().Watch(t.Context(), bronzeconf.IndexName, rev)
+		*v, *err = p.Adapter().Watch(t.Context(), bronzeconf.IndexName, rev)
 	}()
 	synctest.Wait()
 	return done
@@ -33,7 +33,7 @@
 		<-done
 		require.NoError(t, err)
 		require.Equal(t, uint64(2), v.Revision)
-		_, err = p.Seam().Read(t.Context(), "a")
+		_, err = p.Adapter().Read(t.Context(), "a")
 		require.ErrorIs(t, err, bronzeconf.ErrNotFound)
 
 		done = watch(t, &p, 2, &v, &err)
@@ -54,12 +54,12 @@
 		p.Show(1)
 		p.SetDelay(time.Minute)
 		begun := time.Now()
-		v, err := p.Seam().Read(t.Context(), "a")
+		v, err := p.Adapter().Read(t.Context(), "a")
 		require.NoError(t, err)
 		require.Equal(t, bronzeconf.Value{Revision: 1, Body: []byte("1")}, v)
 		require.Equal(t, time.Minute, time.Since(begun))
 		p.Show(0)
-		v, err = p.Seam().Read(t.Context(), "a")
+		v, err = p.Adapter().Read(t.Context(), "a")
 		require.NoError(t, err)
 		require.Equal(t, uint64(2), v.Revision)
 	})
