--- a/bronzetest/platform.go
+++ b/bronzetest/platform.go
@@ -43,9 +43,9 @@
 // SetDelay delays each call.
 func (p *Platform) SetDelay(delay time.Duration) { p.set(func() { p.delay = delay }) }
 
-// Show makes the platform show what was published up to rev, as a replica
+// SetVisibleRevision makes the platform show what was published up to rev, as a replica
 // does that lags behind; 0 shows the newest.
-func (p *Platform) Show(rev uint64) { p.set(func() { p.shown = rev }) }
+func (p *Platform) SetVisibleRevision(rev uint64) { p.set(func() { p.shown = rev }) }
 
 // SetVMs replaces the list of VMs.
 func (p *Platform) SetVMs(vms []bronzeconf.VM) { p.set(func() { p.vms = vms }) }
