--- a/bronzetest/server.go
+++ b/bronzetest/server.go
@@ -24,8 +24,8 @@
 	Normal Mode = iota
 	// Shedding refuses new flows with a reset.
 	Shedding
-	// Mute drops the openings of new flows.
-	Mute
+	// Unresponsive drops the openings of new flows.
+	Unresponsive
 	// Lying takes new flows and reports that it is idle.
 	Lying
 	// Cold answers openings late.
@@ -198,7 +198,7 @@
 	s.fabric.Ledger.tried(key.Hash(), s.id)
 	full := s.Connections > 0 && s.Held() >= s.Connections
 	switch mode := Mode(s.mode.Load()); {
-	case mode == Mute:
+	case mode == Unresponsive:
 		return
 	case mode == Shedding || full:
 		s.reset(p)
