--- a/bronzetest/server.go
+++ b/bronzetest/server.go
@@ -26,8 +26,8 @@
 	Shedding
 	// Unresponsive drops the openings of new flows.
 	Unresponsive
-	// Lying takes new flows and reports that it is idle.
-	Lying
+	// ReportingIdle takes new flows and reports that it is idle.
+	ReportingIdle
 	// Cold answers openings late.
 	Cold
 )
@@ -118,7 +118,7 @@
 		Connections int
 		Leaving     bool
 	}{s.Held(), s.drained.Load() != 0}
-	if Mode(s.mode.Load()) == Lying {
+	if Mode(s.mode.Load()) == ReportingIdle {
 		report.Connections = 0
 	}
 	w.Header().Set("Content-Type", "application/json")
