--- a/bronzetest/caller.go
+++ b/bronzetest/caller.go
@@ -45,8 +45,8 @@
 	Zone     string
 	Service  string
 	Endpoint netip.AddrPort
-	// Think is the mean time between two requests.
-	Think time.Duration
+	// ThinkTime is the mean time between two requests.
+	ThinkTime time.Duration
 	// GiveUp is how long it waits for an answer, 0 means five seconds.
 	GiveUp time.Duration
 	// Early puts the first request into the opening.
@@ -257,7 +257,7 @@
 // think waits before the next request, or for less once ctx is done. It
 // reports false if the flow was reset meanwhile.
 func (f *callerFlow) think(ctx context.Context) bool {
-	pause := time.NewTimer(f.Think/2 + rand.N(f.Think+1))
+	pause := time.NewTimer(f.ThinkTime/2 + rand.N(f.ThinkTime+1))
 	defer pause.Stop()
 	for {
 		select {
