--- a/bronzetest/deployment.go
+++ b/bronzetest/deployment.go
@@ -29,7 +29,7 @@
 	// Requests is the length of a flow, 0 means that it stays open. Think is
 	// the mean time between its requests.
 	Requests int
-	Think    time.Duration
+	ThinkTime    time.Duration
 	// MaxImbalance is what is promised of the service.
 	MaxImbalance float64
 }
@@ -56,13 +56,13 @@
 				Customer: "vtka", Brand: "Valsts Telpu Karšu Aģentūra", Name: "map-live",
 				SchemaVersion: bronzeconf.SchemaV2, Bound: 1.08, MaxImbalance: 1.10,
 				Endpoint: netip.MustParseAddrPort("192.0.2.10:7000"),
-				Hosts:    14, Slots: 2, Share: longShare, Think: longThink,
+				Hosts:    14, Slots: 2, Share: longShare, ThinkTime: longThink,
 			},
 			{
 				Customer: "vtka", Brand: "Valsts Telpu Karšu Aģentūra", Name: "map-archive",
 				SchemaVersion: bronzeconf.SchemaV1, MaxImbalance: 1.10,
 				Endpoint: netip.MustParseAddrPort("[2001:db8:10::20]:443"),
-				Hosts:    4, Slots: 2, Share: jobShare, Think: jobThink, Requests: jobRequests,
+				Hosts:    4, Slots: 2, Share: jobShare, ThinkTime: jobThink, Requests: jobRequests,
 			},
 		},
 	},
@@ -73,13 +73,13 @@
 				Customer: "titik-timbul", Brand: "Titik Timbul Braille Services", Name: "proofdesk",
 				SchemaVersion: bronzeconf.SchemaV2, Bound: 1.03, MaxImbalance: 1.05,
 				Endpoint: netip.MustParseAddrPort("198.51.100.10:8443"),
-				Hosts:    14, Slots: 3, Share: longShare, Think: longThink,
+				Hosts:    14, Slots: 3, Share: longShare, ThinkTime: longThink,
 			},
 			{
 				Customer: "titik-timbul", Brand: "Titik Timbul Braille Services", Name: "printout",
 				SchemaVersion: bronzeconf.SchemaV1, MaxImbalance: 1.10,
 				Endpoint: netip.MustParseAddrPort("[2001:db8:20::20]:9100"),
-				Hosts:    4, Slots: 3, Share: jobShare, Think: jobThink, Requests: jobRequests,
+				Hosts:    4, Slots: 3, Share: jobShare, ThinkTime: jobThink, Requests: jobRequests,
 			},
 		},
 	},
