--- a/bronzetest/caller.go
+++ b/bronzetest/caller.go
@@ -47,8 +47,8 @@
 	Endpoint netip.AddrPort
 	// ThinkTime is the mean time between two requests.
 	ThinkTime time.Duration
-	// GiveUp is how long it waits for an answer, 0 means five seconds.
-	GiveUp time.Duration
+	// Timeout is how long it waits for an answer, 0 means five seconds.
+	Timeout time.Duration
 	// Early puts the first request into the opening.
 	Early bool
 	// Shadow, if set, follows the flow for the comparison with hash alone.
@@ -105,8 +105,8 @@
 }
 
 func (c *Caller) giveUp() time.Duration {
-	if c.GiveUp > 0 {
-		return c.GiveUp
+	if c.Timeout > 0 {
+		return c.Timeout
 	}
 	return defaultGiveUp
 }
--- a/bronzetest/demo.go
+++ b/bronzetest/demo.go
@@ -296,7 +296,7 @@
 		Service: svc.Name, Endpoint: svc.Endpoint, ThinkTime: svc.ThinkTime,
 		Early: svc.Requests > 0 && n%earlyOneIn == 0, Shadow: r.shadow,
 		ZoneOf: func(id bronzeflow.ServerID) string { return r.zones[id] },
-		GiveUp: r.giveUp, port: firstPort + uint16(random.UintN(firstPorts)),
+		Timeout: r.giveUp, port: firstPort + uint16(random.UintN(firstPorts)),
 	}
 }
 
--- a/bronzetest/standin_test.go
+++ b/bronzetest/standin_test.go
@@ -123,7 +123,7 @@
 func TestMisdeliveryIsCounted(t *testing.T) {
 	b := newBench(t, func(bronzeflow.Key, int) int { return 2 })
 	c := b.caller(1)
-	c.GiveUp = firstRetransmit
+	c.Timeout = firstRetransmit
 	require.Equal(t, Unopened, c.Flow(context.Background(), 1))
 	require.Positive(t, b.ledger.Misdelivered.Load())
 }
