--- a/bronzetest/caller.go
+++ b/bronzetest/caller.go
@@ -49,8 +49,8 @@
 	ThinkTime time.Duration
 	// Timeout is how long it waits for an answer, 0 means five seconds.
 	Timeout time.Duration
-	// Early puts the first request into the opening.
-	Early bool
+	// EarlyRequest puts the first request into the opening.
+	EarlyRequest bool
 	// Shadow, if set, follows the flow for the comparison with hash alone.
 	Shadow *Shadow
 	// ZoneOf, if set, tells where a server is, to tell flows that a
@@ -161,7 +161,7 @@
 func (f *callerFlow) open() Outcome {
 	syn := segment{SYN: true, Seq: f.seq}
 	f.seq++
-	if f.Early {
+	if f.EarlyRequest {
 		syn.Payload = f.nextRequest()
 	}
 	whole := f.seq + uint32(len(syn.Payload))
--- a/bronzetest/standin_test.go
+++ b/bronzetest/standin_test.go
@@ -80,7 +80,7 @@
 func (b *bench) caller(i int) *Caller {
 	return &Caller{
 		Fabric: b.fabric, Address: netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}),
-		Service: "s", Endpoint: testService, Early: i%2 == 0,
+		Service: "s", Endpoint: testService, EarlyRequest: i%2 == 0,
 	}
 }
 
