--- a/bronzetest/caller.go
+++ b/bronzetest/caller.go
@@ -52,7 +52,7 @@
 	// EarlyRequest puts the first request into the opening.
 	EarlyRequest bool
 	// Shadow, if set, follows the flow for the comparison with hash alone.
-	Shadow *Shadow
+	Shadow *HashBaseline
 	// ZoneOf, if set, tells where a server is, to tell flows that a
 	// partition cut from others.
 	ZoneOf func(bronzeflow.ServerID) string
--- a/bronzetest/demo.go
+++ b/bronzetest/demo.go
@@ -72,7 +72,7 @@
 	deployment deployment
 	ledger     *Ledger
 	fabric     *Fabric
-	shadow     *Shadow
+	shadow     *HashBaseline
 	platform   *Platform
 	services   []*service
 	// zones and reportZones tell where servers are, by ID and by instance.
@@ -102,7 +102,7 @@
 func (d Demo) Run(ctx context.Context) (result *Result, err error) {
 	defer annotate(&err, "run demo")
 	d.setDefaults()
-	r := &run{Demo: d, ledger: &Ledger{}, shadow: &Shadow{}, platform: &Platform{}}
+	r := &run{Demo: d, ledger: &Ledger{}, shadow: &HashBaseline{}, platform: &Platform{}}
 	if err = r.check(); err != nil {
 		return nil, err
 	}
--- a/bronzetest/demo_test.go
+++ b/bronzetest/demo_test.go
@@ -96,7 +96,7 @@
 	cancel()
 	r := &run{
 		Demo:   Demo{Balancers: 1, Flows: 1, Duration: time.Second, Disturb: NoDisturbance},
-		ledger: &Ledger{}, shadow: &Shadow{}, platform: &Platform{},
+		ledger: &Ledger{}, shadow: &HashBaseline{}, platform: &Platform{},
 	}
 	require.NoError(t, r.drive(ctx))
 	_, err := json.Marshal(&r.result)
--- a/bronzetest/shadow.go
+++ b/bronzetest/shadow.go
@@ -6,10 +6,10 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// Shadow works out for the same flows what balancers would do that know
-// nothing but a rendezvous hash over the pool in force. The zero Shadow is
+// HashBaseline works out for the same flows what balancers would do that know
+// nothing but a rendezvous hash over the pool in force. The zero HashBaseline is
 // ready; its methods may be called concurrently.
-type Shadow struct {
+type HashBaseline struct {
 	mu       sync.Mutex
 	services map[string]*shadowService
 	broken   int
@@ -20,7 +20,7 @@
 	flows map[bronzeflow.Key]bronzeflow.ServerID
 }
 
-func (s *Shadow) service(name string) *shadowService {
+func (s *HashBaseline) service(name string) *shadowService {
 	if s.services == nil {
 		s.services = make(map[string]*shadowService)
 	}
@@ -33,7 +33,7 @@
 // SetPool changes the servers that take a service's flows. Established flows
 // that hash alone would now send elsewhere are counted as broken, and go on
 // as flows of the new server.
-func (s *Shadow) SetPool(service string, pool []bronzeflow.ServerID) {
+func (s *HashBaseline) SetPool(service string, pool []bronzeflow.ServerID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	svc := s.service(service)
@@ -59,7 +59,7 @@
 }
 
 // Open takes an established flow in.
-func (s *Shadow) Open(service string, key bronzeflow.Key) {
+func (s *HashBaseline) Open(service string, key bronzeflow.Key) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	svc := s.service(service)
@@ -67,21 +67,21 @@
 }
 
 // Close takes a flow out.
-func (s *Shadow) Close(service string, key bronzeflow.Key) {
+func (s *HashBaseline) Close(service string, key bronzeflow.Key) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.service(service).flows, key)
 }
 
 // Broken returns how many flows hash alone would have broken.
-func (s *Shadow) Broken() int {
+func (s *HashBaseline) Broken() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.broken
 }
 
 // Imbalance returns the busiest server's flows over the mean.
-func (s *Shadow) Imbalance(service string) float64 {
+func (s *HashBaseline) Imbalance(service string) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	svc := s.service(service)
--- a/bronzetest/standin_test.go
+++ b/bronzetest/standin_test.go
@@ -184,7 +184,7 @@
 }
 
 func TestShadowCountsMovedFlows(t *testing.T) {
-	var s Shadow
+	var s HashBaseline
 	s.SetPool("s", []bronzeflow.ServerID{1, 2, 3})
 	for port := range uint16(300) {
 		s.Open("s", bronzeflow.NewKey(bronzeflow.TCP, netip.AddrPortFrom(otherAddr, port+1), testService))
