--- a/bronzetest/caller.go
+++ b/bronzetest/caller.go
@@ -51,8 +51,8 @@
 	Timeout time.Duration
 	// EarlyRequest puts the first request into the opening.
 	EarlyRequest bool
-	// Shadow, if set, follows the flow for the comparison with hash alone.
-	Shadow *HashBaseline
+	// Baseline, if set, follows the flow for the comparison with hash alone.
+	Baseline *HashBaseline
 	// ZoneOf, if set, tells where a server is, to tell flows that a
 	// partition cut from others.
 	ZoneOf func(bronzeflow.ServerID) string
@@ -137,9 +137,9 @@
 		return outcome
 	}
 	f.ledger.Established.Add(1)
-	if f.Shadow != nil {
-		f.Shadow.Open(f.Service, f.key)
-		defer f.Shadow.Close(f.Service, f.key)
+	if f.Baseline != nil {
+		f.Baseline.Open(f.Service, f.key)
+		defer f.Baseline.Close(f.Service, f.key)
 	}
 	for limit == 0 || int(f.number) < limit || f.unanswered != nil {
 		if !f.request() {
--- a/bronzetest/demo.go
+++ b/bronzetest/demo.go
@@ -294,7 +294,7 @@
 	return &Caller{
 		Fabric: r.fabric, Address: address, Zone: zones[n%len(zones)],
 		Service: svc.Name, Endpoint: svc.Endpoint, ThinkTime: svc.ThinkTime,
-		EarlyRequest: svc.Requests > 0 && n%earlyOneIn == 0, Shadow: r.shadow,
+		EarlyRequest: svc.Requests > 0 && n%earlyOneIn == 0, Baseline: r.shadow,
 		ZoneOf: func(id bronzeflow.ServerID) string { return r.zones[id] },
 		Timeout: r.giveUp, port: firstPort + uint16(random.UintN(firstPorts)),
 	}
