--- a/bronzetest/disturb.go
+++ b/bronzetest/disturb.go
@@ -158,9 +158,9 @@
 	for i, zone := range r.deployment.Zones {
 		sides[zone] = i % 2
 	}
-	r.fabric.Split(sides)
+	r.fabric.Partition(sides)
 	sleep(ctx, span)
-	r.fabric.Split(nil)
+	r.fabric.Partition(nil)
 	r.reachable.Store(time.Now().UnixNano())
 }
 
--- a/bronzetest/fabric.go
+++ b/bronzetest/fabric.go
@@ -170,8 +170,8 @@
 	return resp.StatusCode
 }
 
-// Split cuts the zones of different sides off from each other; nil heals.
-func (f *Fabric) Split(sides map[string]int) {
+// Partition cuts the zones of different sides off from each other; nil heals.
+func (f *Fabric) Partition(sides map[string]int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if sides == nil {
