--- a/bronzetest/balancer.go
+++ b/bronzetest/balancer.go
@@ -147,7 +147,7 @@
 	r.mu.Lock()
 	a, b := r.places[from], r.places[to]
 	r.mu.Unlock()
-	return a != "" && b != "" && !r.fabric.Joined(a, b)
+	return a != "" && b != "" && !r.fabric.Reachable(a, b)
 }
 
 // cutRequest reports whether a partition cuts zone off from the platform,
@@ -158,7 +158,7 @@
 		if strings.HasPrefix(req.URL.String(), r.reportsURL) {
 			place = r.reportZones[strings.TrimPrefix(req.URL.Path, "/")]
 		}
-		return !r.fabric.Joined(zone, place)
+		return !r.fabric.Reachable(zone, place)
 	}
 }
 
--- a/bronzetest/caller.go
+++ b/bronzetest/caller.go
@@ -123,7 +123,7 @@
 
 // receive takes a reply in; what overflows is lost like a packet.
 func (f *callerFlow) receive(t *target, s segment) {
-	if t != nil && !f.Fabric.Joined(t.zone, f.Zone) {
+	if t != nil && !f.Fabric.Reachable(t.zone, f.Zone) {
 		return
 	}
 	select {
--- a/bronzetest/fabric.go
+++ b/bronzetest/fabric.go
@@ -183,8 +183,8 @@
 	f.sides.Store(&sides)
 }
 
-// Joined reports whether packets pass between two zones.
-func (f *Fabric) Joined(a, b string) bool {
+// Reachable reports whether packets pass between two zones.
+func (f *Fabric) Reachable(a, b string) bool {
 	sides := f.sides.Load()
 	return sides == nil || (*sides)[a] == (*sides)[b]
 }
@@ -204,7 +204,7 @@
 	defer f.mu.Unlock()
 	n := 0
 	for _, t := range f.targets {
-		if !t.usable.Load() || !f.Joined(zone, t.zone) {
+		if !t.usable.Load() || !f.Reachable(zone, t.zone) {
 			continue
 		}
 		n++
--- a/bronzetest/server.go
+++ b/bronzetest/server.go
@@ -147,7 +147,7 @@
 			s.fabric.Ledger.Misdelivered.Add(1)
 			continue
 		}
-		if t := s.fabric.arrived(edge, p.Mark); t != nil && !s.fabric.Joined(t.zone, s.Zone) {
+		if t := s.fabric.arrived(edge, p.Mark); t != nil && !s.fabric.Reachable(t.zone, s.Zone) {
 			continue
 		}
 		s.receive(edge, p)
