--- a/bronzetest/demo.go
+++ b/bronzetest/demo.go
@@ -363,7 +363,7 @@
 			sums[0][svc.Name] += svc.imbalance()
 			sums[1][svc.Name] += r.shadow.Imbalance(svc.Name)
 			for _, s := range serving {
-				sums[2][svc.Name] += float64(s.Held()) / float64(len(serving))
+				sums[2][svc.Name] += float64(s.FlowCount()) / float64(len(serving))
 			}
 		}
 		r.mu.Unlock()
--- a/bronzetest/deployment.go
+++ b/bronzetest/deployment.go
@@ -131,7 +131,7 @@
 func (svc *service) imbalance() float64 {
 	var counts []int
 	for _, s := range svc.serving() {
-		counts = append(counts, s.Held())
+		counts = append(counts, s.FlowCount())
 	}
 	return overMean(counts)
 }
--- a/bronzetest/server.go
+++ b/bronzetest/server.go
@@ -109,15 +109,15 @@
 // later than leaveGrace are counted.
 func (s *Server) Drain() { s.drained.Store(time.Now().UnixNano()) }
 
-// Held returns the number of flows that the server holds.
-func (s *Server) Held() int { return int(s.held.Load()) }
+// FlowCount returns the number of flows that the server holds.
+func (s *Server) FlowCount() int { return int(s.held.Load()) }
 
 // ServeHTTP is the health and load endpoint.
 func (s *Server) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	report := struct {
 		Connections int
 		Leaving     bool
-	}{s.Held(), s.drained.Load() != 0}
+	}{s.FlowCount(), s.drained.Load() != 0}
 	if Mode(s.mode.Load()) == ReportingIdle {
 		report.Connections = 0
 	}
@@ -196,7 +196,7 @@
 		return
 	}
 	s.fabric.Ledger.tried(key.Hash(), s.id)
-	full := s.Connections > 0 && s.Held() >= s.Connections
+	full := s.Connections > 0 && s.FlowCount() >= s.Connections
 	switch mode := Mode(s.mode.Load()); {
 	case mode == Unresponsive:
 		return
