--- a/bronzetest/disturb.go
+++ b/bronzetest/disturb.go
@@ -176,7 +176,7 @@
 	b := r.live()[0]
 	for _, svc := range r.services {
 		for _, s := range svc.servers {
-			s.Silence(b.edge)
+			s.BlackholeExistingFlows(b.edge)
 		}
 	}
 	control := b.node.ControlAddress()
--- a/bronzetest/server.go
+++ b/bronzetest/server.go
@@ -125,9 +125,9 @@
 	_ = json.NewEncoder(w).Encode(report)
 }
 
-// Silence loses from now on the packets that the balancer at edge sends for
+// BlackholeExistingFlows loses from now on the packets that the balancer at edge sends for
 // the flows that exist; those of new flows pass.
-func (s *Server) Silence(edge netip.AddrPort) {
+func (s *Server) BlackholeExistingFlows(edge netip.AddrPort) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for key := range s.flows {
