--- a/bronzetest/demo_test.go
+++ b/bronzetest/demo_test.go
@@ -46,17 +46,17 @@
 	}
 	for _, c := range cases {
 		r := kept(c.disturb)
-		require.Empty(t, r.BrokenPromises())
+		require.Empty(t, r.Violations())
 		c.change(r)
-		require.Len(t, r.BrokenPromises(), 1, c.want)
-		require.Contains(t, r.BrokenPromises()[0], c.want)
+		require.Len(t, r.Violations(), 1, c.want)
+		require.Contains(t, r.Violations()[0], c.want)
 	}
 }
 
 func TestSmallServicesAreNotJudgedByImbalance(t *testing.T) {
 	r := kept(NoDisturbance)
 	r.Imbalance["s"], r.FlowsPerHost["s"] = 2, fairFlows-1
-	require.Empty(t, r.BrokenPromises())
+	require.Empty(t, r.Violations())
 }
 
 // Callers get all their answers through real balancers that each get every
@@ -101,5 +101,5 @@
 	require.NoError(t, r.drive(ctx))
 	_, err := json.Marshal(&r.result)
 	require.NoError(t, err)
-	require.NotEmpty(t, r.result.BrokenPromises())
+	require.NotEmpty(t, r.result.Violations())
 }
--- a/bronzetest/result.go
+++ b/bronzetest/result.go
@@ -90,8 +90,8 @@
 	maxImbalance map[string]float64
 }
 
-// BrokenPromises names each promise that the run broke.
-func (r *Result) BrokenPromises() (broken []string) {
+// Violations names each promise that the run broke.
+func (r *Result) Violations() (broken []string) {
 	check := func(kept bool, format string, args ...any) {
 		if !kept {
 			broken = append(broken, fmt.Sprintf(format, args...))
--- a/cmd/bronzematrix/experiment.go
+++ b/cmd/bronzematrix/experiment.go
@@ -89,7 +89,7 @@
 		r.Deployment, r.Disturb, r.Seed, r.Balancers = demo.Deployment, demo.Disturb, demo.Seed, demo.Balancers
 		return r
 	}
-	return Run{Result: *result, Faults: result.BrokenPromises()}
+	return Run{Result: *result, Faults: result.Violations()}
 }
 
 // demos returns the cases in the order of the tables.
--- a/cmd/bronzeusher/demo.go
+++ b/cmd/bronzeusher/demo.go
@@ -40,7 +40,7 @@
 	if err = writeResult(p.Stdout, result, c.JSON); err != nil {
 		return err
 	}
-	broken := result.BrokenPromises()
+	broken := result.Violations()
 	for _, promise := range broken {
 		if _, err = fmt.Fprintln(p.Stderr, "broken promise:", promise); err != nil {
 			return err
