--- a/bronzetest/caller.go
+++ b/bronzetest/caller.go
@@ -174,7 +174,7 @@
 		case s.SYN && acknowledged:
 			outcome = f.established(s, syn.Payload)
 		default:
-			f.ledger.Strays.Add(1)
+			f.ledger.StrayPackets.Add(1)
 			return false
 		}
 		return true
@@ -248,7 +248,7 @@
 // sequence is ignored, as TCP does, and counted.
 func (f *callerFlow) isReset(s segment) bool {
 	if s.RST && s.Seq != f.next {
-		f.ledger.Strays.Add(1)
+		f.ledger.StrayPackets.Add(1)
 		return false
 	}
 	return s.RST
--- a/bronzetest/demo.go
+++ b/bronzetest/demo.go
@@ -398,7 +398,7 @@
 	res.RefusedFlows, res.UnopenedFlows = l.Refused.Load(), l.Unopened.Load()
 	res.Misdelivered, res.DoubleRuns = l.Misdelivered.Load(), l.DoubleRuns.Load()
 	res.FalseRefusals, res.WrongAnswers = l.FalseRefusals.Load(), l.WrongAnswers.Load()
-	res.NewFlowsOnLeaving, res.StrayPackets = l.NewFlowsOnLeaving.Load(), l.Strays.Load()
+	res.NewFlowsOnLeaving, res.StrayPackets = l.NewFlowsOnLeaving.Load(), l.StrayPackets.Load()
 	res.HashAloneBroken = r.shadow.Broken()
 	if packets := l.Packets.Load(); packets > 0 {
 		res.RelayedShare = float64(l.Relayed.Load()) / float64(packets)
--- a/bronzetest/ledger.go
+++ b/bronzetest/ledger.go
@@ -71,7 +71,7 @@
 type Ledger struct {
 	Established, Requests, Packets, Relayed        atomic.Int64
 	BrokenFlows, CutFlows, Refused, Unopened       atomic.Int64
-	Misdelivered, DoubleRuns, WrongAnswers, Strays atomic.Int64
+	Misdelivered, DoubleRuns, WrongAnswers, StrayPackets atomic.Int64
 	FalseRefusals, NewFlowsOnLeaving               atomic.Int64
 
 	shards [ledgerShards]ledgerShard
