--- a/bronzetest/segment.go
+++ b/bronzetest/segment.go
@@ -11,26 +11,27 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// hopLimit is the time to live of the packets that the stand-ins build.
+// hopLimit is the TTL or hop limit of the packets that the stand-ins build.
 const hopLimit = 64
 
 // errNotSegment is returned for a packet that is neither TCP nor UDP.
 var errNotSegment = errors.New("packet is neither TCP nor UDP")
 
-// segment is one packet as callers and backend servers see it. It is built
-// and read with gopacket, apart from the code under test.
+// segment is one packet of a caller or backend server. It is encoded and decoded
+// with gopacket, independently of the code under test.
 type segment struct {
 	Src, Dst netip.AddrPort
 	Protocol bronzeflow.Protocol
-	// Mark is carried in the traffic class: the balancer that the sender
-	// chose, so that the receiver can tell whether another one delivered.
+	// Mark identifies the balancer to which the packet was sent, so that the
+	// receiver can tell whether another one delivered it. It is carried in
+	// the traffic class.
 	Mark               uint8
 	SYN, ACK, FIN, RST bool
 	Seq, Ack           uint32
 	Payload            []byte
 }
 
-// marshal returns the whole IP packet.
+// marshal returns the encoded IP packet.
 func (s *segment) marshal() (raw []byte, err error) {
 	defer annotate(&err, "build packet")
 	ip, network := s.networkLayer()
@@ -69,7 +70,7 @@
 	return tcp, tcp.SetNetworkLayerForChecksum(network)
 }
 
-// parseSegment reads a whole IP packet. The payload is a part of raw.
+// parseSegment decodes an IP packet. The payload is a slice of raw.
 func parseSegment(raw []byte) (s segment, err error) {
 	defer annotate(&err, "read packet")
 	first := layers.LayerTypeIPv4
@@ -109,7 +110,7 @@
 	return s, nil
 }
 
-// annotate wraps *err, if any, with what was being done.
+// annotate wraps *err, unless it is nil, with what was being done.
 func annotate(err *error, what string) {
 	if *err != nil {
 		*err = errors.Wrap(*err, what)
