--- a/bronzetest/platform.go
+++ b/bronzetest/platform.go
@@ -15,43 +15,43 @@
 	"bronzeusher.example/bronzeusher/bronzeconf"
 )
 
-// ErrDown is the error of a Platform that is down.
+// ErrDown is the error of every call to a Platform that is down.
 var ErrDown = errors.New("platform is down")
 
-// vmsPath is where the VM list is, which is no value.
+// vmsPath is the path of the list of VMs, which is not a value.
 const vmsPath = "/VMs"
 
-// Platform stands in for the configuration service and the VM list. It is an
-// http.Handler that bronzeconf.HTTPPlatform reads. The zero Platform is up
-// and has published nothing. All methods may be called concurrently.
+// Platform is a stand-in of the configuration service and its list of VMs. It
+// is an http.Handler that bronzeconf.HTTPPlatform can read. The zero Platform
+// is up and has published nothing. All methods may be called concurrently.
 type Platform struct {
 	mu sync.Mutex
-	// history has every value of each revision, oldest first, from 1. Its
-	// maps don't change.
-	history []map[string]bronzeconf.Value
-	changed chan struct{}
-	reads   int
-	down    bool
-	delay   time.Duration
-	shown   uint64
-	vms     []bronzeconf.VM
+	// history has the values of each revision by name, beginning with
+	// revision 1. Its maps are not modified.
+	history         []map[string]bronzeconf.Value
+	changed         chan struct{}
+	reads           int
+	down            bool
+	delay           time.Duration
+	visibleRevision uint64
+	vms             []bronzeconf.VM
 }
 
-// SetDown makes each call fail, also the watches that wait.
-func (p *Platform) SetDown(down bool) { p.set(func() { p.down = down }) }
+// SetDown makes every call fail, including waiting watches, or ends that.
+func (p *Platform) SetDown(down bool) { p.update(func() { p.down = down }) }
 
-// SetDelay delays each call.
-func (p *Platform) SetDelay(delay time.Duration) { p.set(func() { p.delay = delay }) }
+// SetDelay sets the delay of every call.
+func (p *Platform) SetDelay(delay time.Duration) { p.update(func() { p.delay = delay }) }
 
-// SetVisibleRevision makes the platform show what was published up to rev, as a replica
-// does that lags behind; 0 shows the newest.
-func (p *Platform) SetVisibleRevision(rev uint64) { p.set(func() { p.shown = rev }) }
+// SetVisibleRevision makes the platform return what was published up to rev, as
+// a lagging replica does. 0 stands for the newest revision.
+func (p *Platform) SetVisibleRevision(rev uint64) { p.update(func() { p.visibleRevision = rev }) }
 
 // SetVMs replaces the list of VMs.
-func (p *Platform) SetVMs(vms []bronzeconf.VM) { p.set(func() { p.vms = vms }) }
+func (p *Platform) SetVMs(vms []bronzeconf.VM) { p.update(func() { p.vms = vms }) }
 
-// set changes p and makes the watches that wait look again.
-func (p *Platform) set(change func()) {
+// update applies change to p and wakes the waiting watches.
+func (p *Platform) update(change func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	change()
@@ -61,11 +61,11 @@
 	}
 }
 
-// Publish publishes records under their names and an index that lists them
-// with the ones before, and returns the index's revision. A nil body removes
-// a record.
+// Publish publishes records under their names and an index of these and the
+// earlier records, and returns the index's revision. A nil body removes a
+// record.
 func (p *Platform) Publish(records map[string][]byte) (rev uint64, err error) {
-	p.set(func() { rev, err = p.publish(records) })
+	p.update(func() { rev, err = p.publish(records) })
 	return rev, errors.Wrap(err, "publish")
 }
 
@@ -92,14 +92,15 @@
 	return rev, err
 }
 
-// Reads returns how many calls there were, a waiting watch counted as one.
+// Reads returns the number of calls. A watch counts once, however long it
+// waits.
 func (p *Platform) Reads() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.reads
 }
 
-// Adapter returns p as a node reads it without HTTP.
+// Adapter returns functions that read p directly, without HTTP.
 func (p *Platform) Adapter() bronzeconf.Platform {
 	return bronzeconf.Platform{
 		Read: func(ctx context.Context, name string) (bronzeconf.Value, error) {
@@ -118,8 +119,8 @@
 	}
 }
 
-// begin counts a call and delays it.
-func (p *Platform) begin(ctx context.Context) {
+// startCall counts a call and delays it.
+func (p *Platform) startCall(ctx context.Context) {
 	p.mu.Lock()
 	p.reads++
 	delay := p.delay
@@ -130,10 +131,10 @@
 	}
 }
 
-// read returns the value once it is above after or wait has passed, then
-// without its body.
+// read returns the value once its revision is above after. When wait has passed
+// before, it returns the revision without a body.
 func (p *Platform) read(ctx context.Context, name string, after uint64, wait time.Duration) (v bronzeconf.Value, err error) {
-	p.begin(ctx)
+	p.startCall(ctx)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
@@ -151,8 +152,8 @@
 	}
 }
 
-// value returns what is shown under name, and a channel that is closed when
-// that may have changed.
+// value returns the visible value of name, and a channel that is closed when
+// it may have changed.
 func (p *Platform) value(name string) (v bronzeconf.Value, changed <-chan struct{}, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -164,8 +165,9 @@
 	}
 	var values map[string]bronzeconf.Value
 	if n := uint64(len(p.history)); n > 0 {
-		// shown-1 is the largest number for 0.
-		values = p.history[min(n-1, p.shown-1)]
+		// If visibleRevision is 0, the subtraction wraps around to the
+		// largest number and the newest revision is chosen.
+		values = p.history[min(n-1, p.visibleRevision-1)]
 	}
 	v, ok := values[name]
 	if name == vmsPath {
--- a/bronzetest/platform_test.go
+++ b/bronzetest/platform_test.go
@@ -10,8 +10,8 @@
 	"bronzeusher.example/bronzeusher/bronzeconf"
 )
 
-// watch returns a channel that is closed when a watch after rev has ended,
-// with the result in v and err.
+// watch starts a watch for a revision after rev and returns a channel that is
+// closed when it has ended, with the result in v and err.
 func watch(t *testing.T, p *Platform, rev uint64, v *bronzeconf.Value, err *error) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
@@ -22,7 +22,7 @@
 	return done
 }
 
-func TestPlatformWakesWatches(t *testing.T) {
+func TestPlatformWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var p Platform
 		_, err := p.Publish(map[string][]byte{"a": []byte("1")})
@@ -44,7 +44,7 @@
 	})
 }
 
-func TestPlatformShowsOldAndSlow(t *testing.T) {
+func TestPlatformVisibleRevisionAndDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var p Platform
 		for _, body := range []string{"1", "2"} {
