--- a/bronzetest/balancer.go
+++ b/bronzetest/balancer.go
@@ -20,11 +20,11 @@
 	name, zone string
 	edge       netip.AddrPort
 	node       *bronzenode.Node
-	// ended is closed when the node's Run has returned.
+	// ended is closed when the node's Run returns.
 	ended chan struct{}
 }
 
-// counters takes the balancer's counts apart by their names' prefixes.
+// counters sums up the balancer's counters by the prefixes of their names.
 func (b *balancer) counters() (c counters) {
 	c.Refusals, c.Retries = make(map[string]int64), make(map[string]int64)
 	for name, n := range b.node.Counters() {
@@ -50,7 +50,7 @@
 	<-b.ended
 }
 
-// counters are the balancers' own counts.
+// counters are counts taken by the balancers.
 type counters struct {
 	Control, FlowMessages int64
 	Refusals, Retries     map[string]int64
@@ -73,25 +73,27 @@
 	return sum
 }
 
-// zoneTransport loses the requests of one balancer that a partition would
-// lose.
+// zoneTransport is the HTTP transport of one balancer. Requests across a
+// partition get no response.
 type zoneTransport struct {
 	next http.RoundTripper
-	// cut reports whether the server of the request can't be reached.
-	cut func(*http.Request) bool
+	// unreachable reports whether a partition separates the balancer from the
+	// request's server.
+	unreachable func(*http.Request) bool
 }
 
-// RoundTrip waits in silence for as long as the request may take where a
-// partition lies between, as a network does that drops packets.
+// RoundTrip waits for the end of the request's context if the server is
+// unreachable, as on a network that drops the packets.
 func (t *zoneTransport) RoundTrip(req *http.Request) (*http.Response, error) {
-	if t.cut(req) {
+	if t.unreachable(req) {
 		<-req.Context().Done()
 		return nil, req.Context().Err()
 	}
 	return t.next.RoundTrip(req)
 }
 
-// startBalancer starts a balancer that joins the others. It is not ready yet.
+// startBalancer starts a balancer that joins the others. It doesn't wait until
+// the balancer is ready.
 func (r *run) startBalancer(ctx context.Context, zone string) (err error) {
 	defer annotate(&err, "start balancer")
 	r.mu.Lock()
@@ -106,19 +108,19 @@
 	go r.runNode(context.WithoutCancel(ctx), b)
 	r.mu.Lock()
 	r.balancers = append(r.balancers, b)
-	r.places[b.node.ControlAddress()], r.places[b.node.DataAddress()] = zone, zone
+	r.zonesByAddress[b.node.ControlAddress()], r.zonesByAddress[b.node.DataAddress()] = zone, zone
 	r.mu.Unlock()
 	r.publishVMs()
 	r.fabric.Add(ctx, b.name, zone, b.edge, "http://"+b.node.HTTPAddress().String())
 	return nil
 }
 
-// runNode runs the balancer to its end. A balancer that ends by a fault shows
-// in the run's counts as one that was killed.
+// runNode runs the balancer until it ends. A balancer that fails affects the
+// run's counts in the same way as one that was killed.
 func (r *run) runNode(ctx context.Context, b *balancer) {
 	defer close(b.ended)
 	if err := b.node.Run(ctx); err != nil {
-		r.Log.WithError(err).Error("balancer ended")
+		r.Log.WithError(err).Error("balancer failed")
 	}
 }
 
@@ -128,37 +130,37 @@
 		Name: b.name, Fleet: r.Deployment, Region: r.Deployment, AvailabilityZone: b.zone,
 		EdgeAddress: loopback, DataAddress: loopback, ControlAddress: loopback, HTTPAddress: loopback,
 		FabricAddress: r.fabric.Egress(), Platform: r.platformURL, Plain: true,
-		LeaveQuiet: leaveQuiet, LeaveLimit: leaveLimit, Log: r.Log, Partitioned: r.cut,
+		LeaveQuiet: leaveQuiet, LeaveLimit: leaveLimit, Log: r.Log, Partitioned: r.partitioned,
 	}
 	for _, peer := range r.live() {
 		cfg.Peers = append(cfg.Peers, peer.node.ControlAddress().String())
 	}
-	transport := &zoneTransport{next: http.DefaultTransport.(*http.Transport).Clone(), cut: r.cutRequest(b.zone)}
+	transport := &zoneTransport{next: http.DefaultTransport.(*http.Transport).Clone(), unreachable: r.unreachableFrom(b.zone)}
 	cfg.Client = &http.Client{Transport: transport}
 	return cfg
 }
 
-// cut reports whether a partition lies between two balancers' addresses, or
+// partitioned reports whether a partition separates two balancers' addresses or
 // one of them is muted.
-func (r *run) cut(from, to netip.AddrPort) bool {
-	if m := r.muted.Load(); m != nil && (*m == from || *m == to) {
+func (r *run) partitioned(from, to netip.AddrPort) bool {
+	if m := r.mutedAddress.Load(); m != nil && (*m == from || *m == to) {
 		return true
 	}
 	r.mu.Lock()
-	a, b := r.places[from], r.places[to]
+	a, b := r.zonesByAddress[from], r.zonesByAddress[to]
 	r.mu.Unlock()
 	return a != "" && b != "" && !r.fabric.Reachable(a, b)
 }
 
-// cutRequest reports whether a partition cuts zone off from the platform,
+// unreachableFrom reports whether a partition cuts zone off from the platform,
 // which is in the first zone, or from a server's report.
-func (r *run) cutRequest(zone string) func(*http.Request) bool {
+func (r *run) unreachableFrom(zone string) func(*http.Request) bool {
 	return func(req *http.Request) bool {
-		place := r.deployment.Zones[0]
+		serverZone := r.deployment.Zones[0]
 		if strings.HasPrefix(req.URL.String(), r.reportsURL) {
-			place = r.reportZones[strings.TrimPrefix(req.URL.Path, "/")]
+			serverZone = r.zonesByInstance[strings.TrimPrefix(req.URL.Path, "/")]
 		}
-		return !r.fabric.Reachable(zone, place)
+		return !r.fabric.Reachable(zone, serverZone)
 	}
 }
 
@@ -176,7 +178,7 @@
 
 // awaitReady waits until all balancers are ready.
 func (r *run) awaitReady(ctx context.Context) (err error) {
-	ctx, cancel := context.WithTimeout(ctx, settle)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, b := range r.live() {
 		for !b.node.Ready() {
@@ -188,26 +190,26 @@
 	return nil
 }
 
-// live returns the balancers that were neither killed nor told to leave.
+// live returns the balancers that were neither killed nor asked to leave.
 func (r *run) live() []*balancer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.balancers)
 }
 
-// drop takes b out of the live ones and keeps what it counted.
-func (r *run) drop(b *balancer) {
+// removeBalancer takes b out of the live ones and keeps what it counted.
+func (r *run) removeBalancer(b *balancer) {
 	last := b.counters()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.gone.add(last)
+	r.removedCounters.add(last)
 	r.balancers = slices.DeleteFunc(r.balancers, func(o *balancer) bool { return o == b })
 }
 
-// counters returns the sum over all balancers, also those that have gone.
+// counters returns the sum over all balancers, including removed ones.
 func (r *run) counters() (sum counters) {
 	r.mu.Lock()
-	sum.add(r.gone)
+	sum.add(r.removedCounters)
 	r.mu.Unlock()
 	for _, b := range r.live() {
 		sum.add(b.counters())
@@ -215,11 +217,12 @@
 	return sum
 }
 
-// leave makes b leave; the fabric finds that out by itself.
+// leave makes b leave. Until it has left, the fabric notices that only by the
+// readiness of b.
 func (r *run) leave(ctx context.Context, b *balancer) error {
 	limit, cancel := context.WithTimeout(ctx, leaveLimit)
 	defer cancel()
-	r.drop(b)
+	r.removeBalancer(b)
 	r.publishVMs()
 	_, err := b.node.Leave(limit)
 	r.fabric.Remove(b.name)
--- a/bronzetest/baseline.go
+++ b/bronzetest/baseline.go
@@ -6,48 +6,48 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// HashBaseline works out for the same flows what balancers would do that know
-// nothing but a rendezvous hash over the pool in force. The zero HashBaseline is
-// ready; its methods may be called concurrently.
+// HashBaseline computes what balancers would do with the same flows if they
+// knew nothing but a rendezvous hash over the pool in force. The zero
+// HashBaseline is ready to use. Its methods may be called concurrently.
 type HashBaseline struct {
 	mu       sync.Mutex
-	services map[string]*shadowService
+	services map[string]*baselineService
 	broken   int
 }
 
-type shadowService struct {
+type baselineService struct {
 	pool  []bronzeflow.ServerID
 	flows map[bronzeflow.Key]bronzeflow.ServerID
 }
 
-func (s *HashBaseline) service(name string) *shadowService {
-	if s.services == nil {
-		s.services = make(map[string]*shadowService)
+func (b *HashBaseline) service(name string) *baselineService {
+	if b.services == nil {
+		b.services = make(map[string]*baselineService)
 	}
-	if s.services[name] == nil {
-		s.services[name] = &shadowService{flows: make(map[bronzeflow.Key]bronzeflow.ServerID)}
+	if b.services[name] == nil {
+		b.services[name] = &baselineService{flows: make(map[bronzeflow.Key]bronzeflow.ServerID)}
 	}
-	return s.services[name]
+	return b.services[name]
 }
 
-// SetPool changes the servers that take a service's flows. Established flows
-// that hash alone would now send elsewhere are counted as broken, and go on
-// as flows of the new server.
-func (s *HashBaseline) SetPool(service string, pool []bronzeflow.ServerID) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	svc := s.service(service)
+// SetPool sets the servers of a service. Established flows that the hash now
+// assigns to another server are counted as broken and assigned to that server.
+func (b *HashBaseline) SetPool(service string, pool []bronzeflow.ServerID) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	svc := b.service(service)
 	svc.pool = pool
-	for key, was := range svc.flows {
-		if now := svc.first(key); now != was {
-			svc.flows[key] = now
-			s.broken++
+	for key, old := range svc.flows {
+		if current := svc.first(key); current != old {
+			svc.flows[key] = current
+			b.broken++
 		}
 	}
 }
 
-// first returns the first server of the flow's rendezvous order.
-func (svc *shadowService) first(key bronzeflow.Key) (id bronzeflow.ServerID) {
+// first returns the server with the highest rendezvous score for the flow, or 0
+// if the pool is empty.
+func (svc *baselineService) first(key bronzeflow.Key) (id bronzeflow.ServerID) {
 	best := uint64(0)
 	hash := key.Hash()
 	for _, server := range svc.pool {
@@ -58,33 +58,33 @@
 	return id
 }
 
-// Open takes an established flow in.
-func (s *HashBaseline) Open(service string, key bronzeflow.Key) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	svc := s.service(service)
+// Open adds an established flow.
+func (b *HashBaseline) Open(service string, key bronzeflow.Key) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	svc := b.service(service)
 	svc.flows[key] = svc.first(key)
 }
 
-// Close takes a flow out.
-func (s *HashBaseline) Close(service string, key bronzeflow.Key) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	delete(s.service(service).flows, key)
+// Close removes a flow.
+func (b *HashBaseline) Close(service string, key bronzeflow.Key) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	delete(b.service(service).flows, key)
 }
 
-// Broken returns how many flows hash alone would have broken.
-func (s *HashBaseline) Broken() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.broken
+// Broken returns the number of flows that the hash alone would have broken.
+func (b *HashBaseline) Broken() int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.broken
 }
 
-// Imbalance returns the busiest server's flows over the mean.
-func (s *HashBaseline) Imbalance(service string) float64 {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	svc := s.service(service)
+// Imbalance returns the flows of the busiest server over the mean.
+func (b *HashBaseline) Imbalance(service string) float64 {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	svc := b.service(service)
 	held := make(map[bronzeflow.ServerID]int)
 	for _, id := range svc.flows {
 		held[id]++
@@ -93,11 +93,12 @@
 	for _, id := range svc.pool {
 		counts = append(counts, held[id])
 	}
-	return overMean(counts)
+	return maxOverMean(counts)
 }
 
-// overMean returns the greatest of counts over their mean, 0 without flows.
-func overMean(counts []int) float64 {
+// maxOverMean returns the greatest of counts over their mean, or 0 if all are
+// zero.
+func maxOverMean(counts []int) float64 {
 	total, most := 0, 0
 	for _, n := range counts {
 		total += n
--- a/bronzetest/caller.go
+++ b/bronzetest/caller.go
@@ -12,13 +12,14 @@
 )
 
 const (
-	// firstRetransmit is when a caller first sends again; the wait doubles up
-	// to maxRetransmit, so that what is mended within giveUp shows.
+	// firstRetransmit is the time until a caller's first retransmission. It
+	// doubles up to maxRetransmit, so that several retransmissions fit into
+	// defaultTimeout and a flow survives a fault that ends before.
 	firstRetransmit = 200 * time.Millisecond
 	maxRetransmit   = time.Second
-	// defaultGiveUp is how long a caller waits for an answer.
-	defaultGiveUp = 5 * time.Second
-	// inboxLength bounds the replies that wait for their flow's goroutine.
+	// defaultTimeout is how long a caller waits for an answer by default.
+	defaultTimeout = 5 * time.Second
+	// inboxLength bounds the replies queued for a flow's goroutine.
 	inboxLength = 16
 )
 
@@ -31,36 +32,38 @@
 	Finished Outcome = iota
 	// Refused flows were reset before they were established.
 	Refused
-	// Unopened flows got no answer to their opening.
+	// Unopened flows got no reply to their opening.
 	Unopened
-	// Broken flows were established and then reset, or got no answer.
+	// Broken flows were established and then reset, or a request got no answer.
 	Broken
 )
 
-// Caller opens flows to one service, one flow at a time.
+// Caller opens flows to one service, one at a time.
 type Caller struct {
 	Fabric *Fabric
-	// Address is the caller's own, Service and Endpoint are what it calls.
+	// Address is the caller's own. Service is the name of the called service,
+	// Endpoint its address and port.
 	Address  netip.Addr
 	Zone     string
 	Service  string
 	Endpoint netip.AddrPort
-	// ThinkTime is the mean time between two requests.
+	// ThinkTime is the mean time between an answer and the next request.
 	ThinkTime time.Duration
-	// Timeout is how long it waits for an answer, 0 means five seconds.
+	// Timeout is how long it waits for an answer. 0 means five seconds.
 	Timeout time.Duration
-	// EarlyRequest puts the first request into the opening.
+	// EarlyRequest makes the opening carry the first request.
 	EarlyRequest bool
-	// Baseline, if set, follows the flow for the comparison with hash alone.
+	// Baseline, if set, is told of established flows for the comparison with
+	// hash alone.
 	Baseline *HashBaseline
-	// ZoneOf, if set, tells where a server is, to tell flows that a
-	// partition cut from others.
+	// ZoneOf, if set, returns the zone of a server, so that flows cut by a
+	// partition are counted apart from other broken flows.
 	ZoneOf func(bronzeflow.ServerID) string
 
 	port uint16
 }
 
-// callerFlow is one flow at its caller.
+// callerFlow is the caller's side of one flow.
 type callerFlow struct {
 	*Caller
 	key       bronzeflow.Key
@@ -69,14 +72,15 @@
 	seq, next uint32
 	server    bronzeflow.ServerID
 	number    uint32
-	// unanswered is a request that the opening carried in vain.
-	unanswered []byte
-	ledger     *Ledger
+	// unacked is a request that the opening carried and the reply to it did not
+	// acknowledge.
+	unacked []byte
+	ledger  *Ledger
 }
 
-// Flow opens a flow from a port not used before, makes up to limit requests
-// (0 means no limit) one after another until ctx is done, and closes it. A
-// request in progress is always finished.
+// Flow opens a flow from the next port, makes up to limit requests (0 means no
+// limit) one after another until ctx is done, and closes the flow. A request in
+// progress is finished even if ctx is done.
 func (c *Caller) Flow(ctx context.Context, limit int) Outcome {
 	c.port++
 	src := netip.AddrPortFrom(c.Address, c.port)
@@ -89,7 +93,7 @@
 	defer c.Fabric.detach(f.key)
 	switch outcome := f.run(ctx, limit); outcome {
 	case Refused:
-		f.ledger.told(f.key.Hash())
+		f.ledger.recordRefusal(f.key.Hash())
 		return outcome
 	case Unopened:
 		f.ledger.Unopened.Add(1)
@@ -104,24 +108,26 @@
 	}
 }
 
-func (c *Caller) giveUp() time.Duration {
+func (c *Caller) timeout() time.Duration {
 	if c.Timeout > 0 {
 		return c.Timeout
 	}
-	return defaultGiveUp
+	return defaultTimeout
 }
 
-// countBroken tells a flow whose two ends a partition separates from others.
+// countBroken counts a broken flow. One whose ends were separated by a
+// partition within the last timeout counts as cut.
 func (f *callerFlow) countBroken() {
 	id := f.ledger.serverOf(f.key.Hash())
-	if f.ZoneOf != nil && f.Fabric.cutLately(f.Zone, f.ZoneOf(id), f.giveUp()) {
+	if f.ZoneOf != nil && f.Fabric.recentlyPartitioned(f.Zone, f.ZoneOf(id), f.timeout()) {
 		f.ledger.CutFlows.Add(1)
 		return
 	}
 	f.ledger.BrokenFlows.Add(1)
 }
 
-// receive takes a reply in; what overflows is lost like a packet.
+// receive queues a reply. If the queue is full or a partition separates the
+// balancer t from the caller, the reply is lost.
 func (f *callerFlow) receive(t *target, s segment) {
 	if t != nil && !f.Fabric.Reachable(t.zone, f.Zone) {
 		return
@@ -141,11 +147,11 @@
 		f.Baseline.Open(f.Service, f.key)
 		defer f.Baseline.Close(f.Service, f.key)
 	}
-	for limit == 0 || int(f.number) < limit || f.unanswered != nil {
+	for limit == 0 || int(f.number) < limit || f.unacked != nil {
 		if !f.request() {
 			return Broken
 		}
-		if !f.think(ctx) {
+		if !f.waitThinkTime(ctx) {
 			return Broken
 		}
 		if ctx.Err() != nil {
@@ -156,23 +162,24 @@
 	return Finished
 }
 
-// open sends the opening until it is accepted or refused. A request in it
-// that wasn't acknowledged with it is made again, as TCP does.
+// open sends the opening until it is accepted, refused or timed out. A request
+// in it that the reply doesn't acknowledge is sent again once the flow is open,
+// as in TCP.
 func (f *callerFlow) open() Outcome {
 	syn := segment{SYN: true, Seq: f.seq}
 	f.seq++
 	if f.EarlyRequest {
 		syn.Payload = f.nextRequest()
 	}
-	whole := f.seq + uint32(len(syn.Payload))
+	withPayload := f.seq + uint32(len(syn.Payload))
 	outcome := Unopened
 	f.transact(syn, func(s segment) bool {
-		acknowledged := s.ACK && (s.Ack == f.seq || s.Ack == whole)
+		acknowledged := s.ACK && (s.Ack == f.seq || s.Ack == withPayload)
 		switch {
 		case s.RST && acknowledged:
 			outcome = Refused
 		case s.SYN && acknowledged:
-			outcome = f.established(s, syn.Payload)
+			outcome = f.handleSYNACK(s, syn.Payload)
 		default:
 			f.ledger.StrayPackets.Add(1)
 			return false
@@ -182,11 +189,11 @@
 	return outcome
 }
 
-// established takes the acceptance s of an opening with payload in.
-func (f *callerFlow) established(s segment, payload []byte) Outcome {
+// handleSYNACK handles s, which accepts an opening with the given payload.
+func (f *callerFlow) handleSYNACK(s segment, payload []byte) Outcome {
 	f.next = s.Seq + 1
 	if s.Ack == f.seq {
-		f.unanswered = payload
+		f.unacked = payload
 	} else if f.seq = s.Ack; !f.verify(s) {
 		return Broken
 	}
@@ -199,14 +206,14 @@
 	return Request{Flow: f.key.Hash(), Number: f.number}.marshal()
 }
 
-// request makes the next request, or the one that the opening was to carry,
-// and reports whether it was answered.
+// request sends the next request, or the unacknowledged one of the opening, and
+// reports whether it was answered.
 func (f *callerFlow) request() (answered bool) {
-	p := segment{ACK: true, Seq: f.seq, Ack: f.next, Payload: f.unanswered}
-	if f.unanswered == nil {
+	p := segment{ACK: true, Seq: f.seq, Ack: f.next, Payload: f.unacked}
+	if f.unacked == nil {
 		p.Payload = f.nextRequest()
 	}
-	f.unanswered = nil
+	f.unacked = nil
 	f.seq += uint32(len(p.Payload))
 	f.transact(p, func(s segment) bool {
 		switch {
@@ -223,7 +230,8 @@
 }
 
 // verify reports whether s carries the whole answer to the last request.
-// Repeated answers are passed over, any other is counted as wrong.
+// Answers to earlier requests of the flow are ignored, any other is counted as
+// wrong.
 func (f *callerFlow) verify(s segment) bool {
 	a, ok := parseAnswer(s.Payload)
 	own := ok && a.Request.Flow == f.key.Hash() && a.Service == xxhash.Sum64String(f.Service)
@@ -244,8 +252,8 @@
 	return true
 }
 
-// isReset reports whether s ends the flow. A reset outside the expected
-// sequence is ignored, as TCP does, and counted.
+// isReset reports whether s resets the flow. A reset with an unexpected
+// sequence number is ignored, as in TCP, and counted as a stray packet.
 func (f *callerFlow) isReset(s segment) bool {
 	if s.RST && s.Seq != f.next {
 		f.ledger.StrayPackets.Add(1)
@@ -254,9 +262,9 @@
 	return s.RST
 }
 
-// think waits before the next request, or for less once ctx is done. It
-// reports false if the flow was reset meanwhile.
-func (f *callerFlow) think(ctx context.Context) bool {
+// waitThinkTime waits for a random think time or until ctx is done. It returns
+// false if the flow is reset meanwhile.
+func (f *callerFlow) waitThinkTime(ctx context.Context) bool {
 	pause := time.NewTimer(f.ThinkTime/2 + rand.N(f.ThinkTime+1))
 	defer pause.Stop()
 	for {
@@ -273,8 +281,8 @@
 	}
 }
 
-// close ends the flow. All its requests are answered, so its loss from now
-// on harms nobody.
+// close ends the flow. All its requests are answered, so it doesn't matter
+// whether the FIN is answered before the timeout.
 func (f *callerFlow) close() {
 	fin := segment{ACK: true, FIN: true, Seq: f.seq, Ack: f.next}
 	f.transact(fin, func(s segment) bool { return s.RST || s.FIN })
@@ -287,25 +295,25 @@
 	f.send(segment{RST: true, ACK: true, Seq: f.seq, Ack: f.next})
 }
 
-// transact sends s, and again while done accepts none of the replies, until
-// the caller gives up.
+// transact sends s and retransmits it until done accepts a reply or the timeout
+// has passed.
 func (f *callerFlow) transact(s segment, done func(segment) bool) {
-	deadline := time.NewTimer(f.giveUp())
+	deadline := time.NewTimer(f.timeout())
 	defer deadline.Stop()
 	for wait := firstRetransmit; ; wait = min(2*wait, maxRetransmit) {
 		f.send(s)
-		again := time.NewTimer(wait)
-		finished := f.collect(again.C, deadline.C, done)
-		again.Stop()
+		retransmit := time.NewTimer(wait)
+		finished := f.awaitReply(retransmit.C, deadline.C, done)
+		retransmit.Stop()
 		if finished {
 			return
 		}
 	}
 }
 
-// collect passes replies to done until it accepts one or the deadline has
-// come; it reports false when it is time to send again.
-func (f *callerFlow) collect(again, deadline <-chan time.Time, done func(segment) bool) bool {
+// awaitReply passes replies to done until it accepts one or the deadline has
+// passed. It returns false when it is time to retransmit.
+func (f *callerFlow) awaitReply(retransmit, deadline <-chan time.Time, done func(segment) bool) bool {
 	for {
 		select {
 		case s := <-f.inbox:
@@ -314,7 +322,7 @@
 			}
 		case <-deadline:
 			return true
-		case <-again:
+		case <-retransmit:
 			return false
 		}
 	}
--- a/bronzetest/demo.go
+++ b/bronzetest/demo.go
@@ -29,24 +29,26 @@
 )
 
 const (
-	// settle is how long the balancers have to become ready.
-	settle = 10 * time.Second
-	// maxRampUp is the time over which the callers open their first flows,
-	// but no more than a rampUpPart of the run.
+	// readyTimeout is how long the balancers have to become ready.
+	readyTimeout = 10 * time.Second
+	// Callers open their first flows spread over maxRampUp, or over the run's
+	// duration divided by rampUpDivisor if that is less.
 	maxRampUp      = 2 * time.Second
-	rampUpPart     = 4
+	rampUpDivisor  = 4
 	sampleInterval = 200 * time.Millisecond
 	pollInterval   = 20 * time.Millisecond
-	// reopenAfter is how long a caller waits after a flow that failed.
-	reopenAfter = 500 * time.Millisecond
-	// One short flow in earlyOneIn has a request in its opening.
-	earlyOneIn = 8
-	// A caller's first port is one of firstPorts from firstPort on.
+	// reopenDelay is how long a caller waits after a flow that failed.
+	reopenDelay = 500 * time.Millisecond
+	// One caller of short flows in earlyRequestOneIn puts a request into the
+	// opening.
+	earlyRequestOneIn = 8
+	// A caller's port numbers start above a random one of the firstPorts ports
+	// from firstPort on.
 	firstPort  = 1024
 	firstPorts = 1 << 15
 )
 
-// Demo runs a whole deployment on loopback: real balancers, and stand-ins for
+// Demo runs a whole deployment on loopback: real balancers and stand-ins for
 // everything around them. Zero fields mean the defaults.
 type Demo struct {
 	// Deployment is "riga" or "klang".
@@ -57,52 +59,53 @@
 	Duration time.Duration
 	Disturb  string
 	Seed     uint64
-	// Progress gets a line each second, nil means none.
+	// Progress receives a line each second. It may be nil.
 	Progress io.Writer
-	// Log is where the balancers log, nil means nowhere.
+	// Log is the balancers' log. If it is nil, their logs are discarded.
 	Log *logrus.Logger
 
-	// giveUp is how long callers wait, 0 means their default.
-	giveUp time.Duration
+	// callerTimeout is the callers' Timeout. 0 means their default.
+	callerTimeout time.Duration
 }
 
-// run is a Demo that runs.
+// run is the state of a running Demo.
 type run struct {
 	Demo
 	deployment deployment
 	ledger     *Ledger
 	fabric     *Fabric
-	shadow     *HashBaseline
+	baseline   *HashBaseline
 	platform   *Platform
 	services   []*service
-	// zones and reportZones tell where servers are, by ID and by instance.
-	zones       map[bronzeflow.ServerID]string
-	reportZones map[string]string
+	// The zones of servers, by ID and by instance.
+	zonesByServer   map[bronzeflow.ServerID]string
+	zonesByInstance map[string]string
 	// platformURL and reportsURL are the base URLs of the two HTTP servers.
 	platformURL, reportsURL string
 	http                    []*http.Server
-	// reachable is when the platform could be reached by all again, in Unix
-	// nanoseconds.
-	reachable atomic.Int64
-	// muted is the control address whose links go silent now.
-	muted atomic.Pointer[netip.AddrPort]
+	// platformReachableAt is when the platform became reachable again for all
+	// balancers, in Unix nanoseconds, or 0.
+	platformReachableAt atomic.Int64
+	// mutedAddress is the control address of the balancer whose links are
+	// muted, or nil.
+	mutedAddress atomic.Pointer[netip.AddrPort]
 
 	mu sync.Mutex
-	// places tells the zones of balancers' addresses.
-	places    map[netip.AddrPort]string
-	balancers []*balancer
-	started   int
-	gone      counters
-	result    Result
+	// zonesByAddress has the zones of the balancers' control and data addresses.
+	zonesByAddress  map[netip.AddrPort]string
+	balancers       []*balancer
+	started         int
+	removedCounters counters
+	result          Result
 }
 
-// Run runs the Demo until its time is over and all requests in progress are
-// answered. An error says that it couldn't be run; promises that were broken
-// are in the Result.
+// Run runs the Demo until its duration is over and all requests in progress
+// have ended. It returns an error if the Demo couldn't be run. Broken promises
+// are no error: see Result.Violations.
 func (d Demo) Run(ctx context.Context) (result *Result, err error) {
 	defer annotate(&err, "run demo")
 	d.setDefaults()
-	r := &run{Demo: d, ledger: &Ledger{}, shadow: &HashBaseline{}, platform: &Platform{}}
+	r := &run{Demo: d, ledger: &Ledger{}, baseline: &HashBaseline{}, platform: &Platform{}}
 	if err = r.check(); err != nil {
 		return nil, err
 	}
@@ -110,7 +113,7 @@
 	if err = r.start(ctx); err != nil {
 		return nil, err
 	}
-	if err = r.drive(ctx); err != nil {
+	if err = r.measure(ctx); err != nil {
 		return nil, err
 	}
 	return &r.result, nil
@@ -142,7 +145,7 @@
 	return nil
 }
 
-// start brings everything up but the callers.
+// start starts everything but the callers.
 func (r *run) start(ctx context.Context) (err error) {
 	defer annotate(&err, "start")
 	if r.fabric, err = NewFabric(r.ledger, r.Seed); err != nil {
@@ -157,7 +160,7 @@
 	if _, err = r.publish(); err != nil {
 		return err
 	}
-	r.places = make(map[netip.AddrPort]string)
+	r.zonesByAddress = make(map[netip.AddrPort]string)
 	for i := range r.Balancers {
 		zone := r.deployment.Zones[i%len(r.deployment.Zones)]
 		if err = r.startBalancer(ctx, zone); err != nil {
@@ -169,7 +172,7 @@
 
 func (r *run) startServers() (err error) {
 	reports := http.NewServeMux()
-	r.zones, r.reportZones = make(map[bronzeflow.ServerID]string), make(map[string]string)
+	r.zonesByServer, r.zonesByInstance = make(map[bronzeflow.ServerID]string), make(map[string]string)
 	for _, size := range r.deployment.Services {
 		svc := newService(size, r.deployment.Zones)
 		r.services = append(r.services, svc)
@@ -177,10 +180,10 @@
 			if err = s.Start(r.fabric); err != nil {
 				return err
 			}
-			r.zones[s.id], r.reportZones[s.Instance] = s.Zone, s.Zone
+			r.zonesByServer[s.id], r.zonesByInstance[s.Instance] = s.Zone, s.Zone
 			reports.Handle("/"+s.Instance, s)
 		}
-		r.shadow.SetPool(svc.Name, svc.pool())
+		r.baseline.SetPool(svc.Name, svc.servingIDs())
 	}
 	r.reportsURL, err = r.serveHTTP(reports)
 	return err
@@ -191,7 +194,7 @@
 	if err != nil {
 		return "", err
 	}
-	server := &http.Server{Handler: h, ReadHeaderTimeout: settle}
+	server := &http.Server{Handler: h, ReadHeaderTimeout: readyTimeout}
 	r.http = append(r.http, server)
 	go func() { _ = server.Serve(l) }()
 	return "http://" + l.Addr().String(), nil
@@ -229,61 +232,62 @@
 	return r.platform.Publish(records)
 }
 
-// pool returns the servers that take the service's new flows.
-func (r *run) pool(svc *service) []bronzeflow.ServerID {
+// servingIDs returns the servers that accept new flows of the service.
+func (r *run) servingIDs(svc *service) []bronzeflow.ServerID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return svc.pool()
+	return svc.servingIDs()
 }
 
-// drive runs callers, disturbance and measurements to their end.
-func (r *run) drive(ctx context.Context) (err error) {
+// measure runs the callers, the disturbance and the measurements and fills in
+// the result.
+func (r *run) measure(ctx context.Context) (err error) {
 	began := time.Now()
 	before := r.counters()
-	measuring, stop := context.WithCancel(ctx)
-	calling, hangUp := context.WithCancel(ctx)
-	defer stop()
-	defer hangUp()
-	var measurements, work sync.WaitGroup
-	measurements.Go(func() { r.sample(measuring) })
-	measurements.Go(func() { r.progress(measuring) })
-	r.startCallers(calling, &work)
-	var disturbed, configured error
+	measuring, stopMeasuring := context.WithCancel(ctx)
+	calling, stopCalling := context.WithCancel(ctx)
+	defer stopMeasuring()
+	defer stopCalling()
+	var measurements, callers sync.WaitGroup
+	measurements.Go(func() { r.sampleImbalance(measuring) })
+	measurements.Go(func() { r.reportProgress(measuring) })
+	r.startCallers(calling, &callers)
+	var disturbErr, publishErr error
 	var changes sync.WaitGroup
-	changes.Go(func() { disturbed = r.disturb(ctx) })
-	changes.Go(func() { configured = r.configure(ctx) })
+	changes.Go(func() { disturbErr = r.disturb(ctx) })
+	changes.Go(func() { publishErr = r.publishChange(ctx) })
 	sleep(ctx, r.Duration)
 	changes.Wait()
 	seconds := time.Since(began).Seconds()
 	after := r.counters()
-	stop()
+	stopMeasuring()
 	measurements.Wait()
-	hangUp()
-	work.Wait()
-	r.collect(seconds, before, after)
-	if disturbed != nil {
-		return disturbed
+	stopCalling()
+	callers.Wait()
+	r.fillResult(seconds, before, after)
+	if disturbErr != nil {
+		return disturbErr
 	}
-	return configured
+	return publishErr
 }
 
-func (d *Demo) rampUp() time.Duration { return min(maxRampUp, d.Duration/rampUpPart) }
+func (d *Demo) rampUp() time.Duration { return min(maxRampUp, d.Duration/rampUpDivisor) }
 
 // startCallers starts one goroutine for each concurrent flow.
-func (r *run) startCallers(ctx context.Context, work *sync.WaitGroup) {
+func (r *run) startCallers(ctx context.Context, callers *sync.WaitGroup) {
 	n := 0
 	for _, svc := range r.services {
 		for range max(1, int(svc.Share*float64(r.Flows))) {
 			n++
 			c := r.caller(svc, n)
 			delay := r.rampUp() * time.Duration(n) / time.Duration(r.Flows)
-			work.Go(func() { call(ctx, c, svc.Requests, delay) })
+			callers.Go(func() { openFlows(ctx, c, svc.Requests, delay) })
 		}
 	}
 }
 
 // caller returns the n-th caller. Its address and first port depend on the
-// seed, so that another seed means other hashes.
+// seed, so that flows hash differently with another seed.
 func (r *run) caller(svc *service, n int) *Caller {
 	random := rand.New(rand.NewPCG(r.Seed, uint64(n)))
 	address := netip.AddrFrom4([4]byte{10, byte(random.Uint32()), byte(n >> 8), byte(n)})
@@ -294,25 +298,25 @@
 	return &Caller{
 		Fabric: r.fabric, Address: address, Zone: zones[n%len(zones)],
 		Service: svc.Name, Endpoint: svc.Endpoint, ThinkTime: svc.ThinkTime,
-		EarlyRequest: svc.Requests > 0 && n%earlyOneIn == 0, Baseline: r.shadow,
-		ZoneOf: func(id bronzeflow.ServerID) string { return r.zones[id] },
-		Timeout: r.giveUp, port: firstPort + uint16(random.UintN(firstPorts)),
+		EarlyRequest: svc.Requests > 0 && n%earlyRequestOneIn == 0, Baseline: r.baseline,
+		ZoneOf:  func(id bronzeflow.ServerID) string { return r.zonesByServer[id] },
+		Timeout: r.callerTimeout, port: firstPort + uint16(random.UintN(firstPorts)),
 	}
 }
 
-// call opens one flow after another until ctx is done.
-func call(ctx context.Context, c *Caller, limit int, delay time.Duration) {
+// openFlows opens one flow after another until ctx is done.
+func openFlows(ctx context.Context, c *Caller, limit int, delay time.Duration) {
 	for sleep(ctx, delay) {
 		delay = 0
 		if c.Flow(ctx, limit) != Finished {
-			delay = reopenAfter
+			delay = reopenDelay
 		}
 	}
 }
 
-// configure publishes a change in the middle of the run, and measures how
-// long it takes until every live balancer has it.
-func (r *run) configure(ctx context.Context) error {
+// publishChange publishes a change in the middle of the run and measures how
+// long it takes until it is in force on every live balancer.
+func (r *run) publishChange(ctx context.Context) error {
 	if !sleep(ctx, r.Duration/2) {
 		return nil
 	}
@@ -327,14 +331,14 @@
 	}
 	published := time.Now()
 	r.result.ConfigSeconds = -1
-	limit, cancel := context.WithTimeout(ctx, r.Duration/2+maxConfigSeconds*time.Second)
+	limited, cancel := context.WithTimeout(ctx, r.Duration/2+maxConfigSeconds*time.Second)
 	defer cancel()
-	for sleep(limit, pollInterval) {
+	for sleep(limited, pollInterval) {
 		if !r.inForce(rev) {
 			continue
 		}
-		if up := r.reachable.Load(); up > published.UnixNano() {
-			published = time.Unix(0, up)
+		if reachableAt := r.platformReachableAt.Load(); reachableAt > published.UnixNano() {
+			published = time.Unix(0, reachableAt)
 		}
 		r.result.ConfigSeconds = time.Since(published).Seconds()
 		break
@@ -342,6 +346,7 @@
 	return nil
 }
 
+// inForce reports whether every live balancer has revision rev or a newer one.
 func (r *run) inForce(rev uint64) bool {
 	for _, b := range r.live() {
 		if b.node.Revision() < rev {
@@ -351,8 +356,9 @@
 	return true
 }
 
-// sample measures the imbalance at intervals, after the flows are open.
-func (r *run) sample(ctx context.Context) {
+// sampleImbalance measures the imbalance at intervals, beginning after the
+// ramp-up, and averages the samples.
+func (r *run) sampleImbalance(ctx context.Context) {
 	sums := [3]map[string]float64{{}, {}, {}}
 	samples := 0.0
 	for wait := r.rampUp() + r.rampUp()/2; sleep(ctx, wait); wait = sampleInterval {
@@ -361,7 +367,7 @@
 		for _, svc := range r.services {
 			serving := svc.serving()
 			sums[0][svc.Name] += svc.imbalance()
-			sums[1][svc.Name] += r.shadow.Imbalance(svc.Name)
+			sums[1][svc.Name] += r.baseline.Imbalance(svc.Name)
 			for _, s := range serving {
 				sums[2][svc.Name] += float64(s.FlowCount()) / float64(len(serving))
 			}
@@ -376,7 +382,7 @@
 	r.result.Imbalance, r.result.HashAloneImbalance, r.result.FlowsPerHost = sums[0], sums[1], sums[2]
 }
 
-func (r *run) progress(ctx context.Context) {
+func (r *run) reportProgress(ctx context.Context) {
 	if r.Progress == nil {
 		return
 	}
@@ -388,8 +394,9 @@
 	}
 }
 
-// collect fills in the Result.
-func (r *run) collect(seconds float64, before, after counters) {
+// fillResult fills in the Result from the ledger and the counters before and
+// after the run.
+func (r *run) fillResult(seconds float64, before, after counters) {
 	l, res := r.ledger, &r.result
 	res.Deployment, res.Disturb, res.Seed = r.Deployment, r.Disturb, r.Seed
 	res.Balancers, res.Seconds = r.Balancers, seconds
@@ -399,7 +406,7 @@
 	res.Misdelivered, res.DoubleRuns = l.Misdelivered.Load(), l.DoubleRuns.Load()
 	res.FalseRefusals, res.WrongAnswers = l.FalseRefusals.Load(), l.WrongAnswers.Load()
 	res.NewFlowsOnLeaving, res.StrayPackets = l.NewFlowsOnLeaving.Load(), l.StrayPackets.Load()
-	res.HashAloneBroken = r.shadow.Broken()
+	res.HashAloneBroken = r.baseline.Broken()
 	if packets := l.Packets.Load(); packets > 0 {
 		res.RelayedShare = float64(l.Relayed.Load()) / float64(packets)
 		res.PacketsPerSecond = float64(packets) / seconds
--- a/bronzetest/demo_test.go
+++ b/bronzetest/demo_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// kept returns a result that breaks no promise.
-func kept(disturb string) *Result {
+// passingResult returns a result that breaks no promise.
+func passingResult(disturb string) *Result {
 	return &Result{
 		Disturb: disturb, Balancers: 3, Requests: 1, ConfigSeconds: 1,
 		Imbalance: map[string]float64{"s": 1.04}, FlowsPerHost: map[string]float64{"s": 60},
@@ -19,8 +19,8 @@
 	}
 }
 
-// Each change of a result breaks one promise, which has to be named.
-func TestBrokenPromisesAreNamed(t *testing.T) {
+// Each change of a passing result breaks one promise, which is reported.
+func TestResultViolations(t *testing.T) {
 	cases := []struct {
 		disturb string
 		change  func(*Result)
@@ -45,7 +45,7 @@
 		{NoDisturbance, func(r *Result) { r.RefusedFlows = 1 }, "RefusedFlows"},
 	}
 	for _, c := range cases {
-		r := kept(c.disturb)
+		r := passingResult(c.disturb)
 		require.Empty(t, r.Violations())
 		c.change(r)
 		require.Len(t, r.Violations(), 1, c.want)
@@ -53,18 +53,18 @@
 	}
 }
 
-func TestSmallServicesAreNotJudgedByImbalance(t *testing.T) {
-	r := kept(NoDisturbance)
-	r.Imbalance["s"], r.FlowsPerHost["s"] = 2, fairFlows-1
+func TestResultViolationsSmallService(t *testing.T) {
+	r := passingResult(NoDisturbance)
+	r.Imbalance["s"], r.FlowsPerHost["s"] = 2, minFlowsForImbalance-1
 	require.Empty(t, r.Violations())
 }
 
-// Callers get all their answers through real balancers that each get every
-// packet of a flow with equal chance. The verdict doesn't depend on time: the
-// callers wait as long as it takes.
-func TestDemoServesEveryFlow(t *testing.T) {
+// Callers get all answers through real balancers, of which each gets any packet
+// of a flow with equal probability. The callers' timeout is a minute, so that
+// the result doesn't depend on the speed of the machine.
+func TestDemo(t *testing.T) {
 	for name := range deployments {
-		d := Demo{Deployment: name, Balancers: 3, Flows: 60, Duration: time.Second, giveUp: time.Minute}
+		d := Demo{Deployment: name, Balancers: 3, Flows: 60, Duration: time.Second, callerTimeout: time.Minute}
 		result, err := d.Run(context.Background())
 		require.NoError(t, err)
 		require.Positive(t, result.Requests)
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestDemoRefusesUnknownNames(t *testing.T) {
+func TestDemoInvalid(t *testing.T) {
 	_, err := Demo{Deployment: "nowhere"}.Run(context.Background())
 	require.ErrorContains(t, err, "Deployment")
 	_, err = Demo{Disturb: "nothing"}.Run(context.Background())
@@ -89,16 +89,16 @@
 	require.ErrorContains(t, err, "Flows")
 }
 
-// The operator interrupts the demo as it starts. The result has no samples,
-// and has to be writable all the same.
-func TestInterruptedDemoHasAResult(t *testing.T) {
+// The demo is interrupted as it starts. Its result has no samples of the
+// imbalance and must still be encodable as JSON.
+func TestDemoInterrupted(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	r := &run{
 		Demo:   Demo{Balancers: 1, Flows: 1, Duration: time.Second, Disturb: NoDisturbance},
-		ledger: &Ledger{}, shadow: &HashBaseline{}, platform: &Platform{},
+		ledger: &Ledger{}, baseline: &HashBaseline{}, platform: &Platform{},
 	}
-	require.NoError(t, r.drive(ctx))
+	require.NoError(t, r.measure(ctx))
 	_, err := json.Marshal(&r.result)
 	require.NoError(t, err)
 	require.NotEmpty(t, r.result.Violations())
--- a/bronzetest/deployment.go
+++ b/bronzetest/deployment.go
@@ -11,40 +11,40 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// deployment is a fleet's zones and services, in the sizes of its operator.
+// deployment is a fleet's zones and services, sized as its operator has them.
 type deployment struct {
 	Zones    []string
 	Services []serviceSize
 }
 
-// serviceSize is one service of a deployment.
+// serviceSize describes one service of a deployment.
 type serviceSize struct {
 	Customer, Brand, Name string
 	SchemaVersion         int
 	Bound                 float64
 	Endpoint              netip.AddrPort
 	Hosts, Slots          int
-	// Share is the service's part of the demo's flows.
+	// Share is the service's share of the demo's flows.
 	Share float64
-	// Requests is the length of a flow, 0 means that it stays open. Think is
-	// the mean time between its requests.
-	Requests int
-	ThinkTime    time.Duration
-	// MaxImbalance is what is promised of the service.
+	// Requests is the number of requests of a flow, 0 means that it stays open.
+	// ThinkTime is the mean time between an answer and the next request.
+	Requests  int
+	ThinkTime time.Duration
+	// MaxImbalance is the promised limit of the service's imbalance.
 	MaxImbalance float64
 }
 
 const (
-	connections = 2000
-	longShare   = 0.8
-	jobShare    = 0.2
-	longThink   = time.Second
-	jobThink    = 400 * time.Millisecond
-	jobRequests = 3
+	connections   = 2000
+	longShare     = 0.8
+	jobShare      = 0.2
+	longThinkTime = time.Second
+	jobThinkTime  = 400 * time.Millisecond
+	jobRequests   = 3
 
 	openDeadline = 3 * time.Second
-	// retryBudget is the share of opens that the demo's services may try
-	// again; schema version 1 has it as its default.
+	// retryBudget is the share of openings that the demo's services may retry.
+	// Services of schema version 1 have it by default.
 	retryBudget = bronzeconf.DefaultRetryBudget
 )
 
@@ -56,13 +56,13 @@
 				Customer: "vtka", Brand: "Valsts Telpu Karšu Aģentūra", Name: "map-live",
 				SchemaVersion: bronzeconf.SchemaV2, Bound: 1.08, MaxImbalance: 1.10,
 				Endpoint: netip.MustParseAddrPort("192.0.2.10:7000"),
-				Hosts:    14, Slots: 2, Share: longShare, ThinkTime: longThink,
+				Hosts:    14, Slots: 2, Share: longShare, ThinkTime: longThinkTime,
 			},
 			{
 				Customer: "vtka", Brand: "Valsts Telpu Karšu Aģentūra", Name: "map-archive",
 				SchemaVersion: bronzeconf.SchemaV1, MaxImbalance: 1.10,
 				Endpoint: netip.MustParseAddrPort("[2001:db8:10::20]:443"),
-				Hosts:    4, Slots: 2, Share: jobShare, ThinkTime: jobThink, Requests: jobRequests,
+				Hosts:    4, Slots: 2, Share: jobShare, ThinkTime: jobThinkTime, Requests: jobRequests,
 			},
 		},
 	},
@@ -73,24 +73,24 @@
 				Customer: "titik-timbul", Brand: "Titik Timbul Braille Services", Name: "proofdesk",
 				SchemaVersion: bronzeconf.SchemaV2, Bound: 1.03, MaxImbalance: 1.05,
 				Endpoint: netip.MustParseAddrPort("198.51.100.10:8443"),
-				Hosts:    14, Slots: 3, Share: longShare, ThinkTime: longThink,
+				Hosts:    14, Slots: 3, Share: longShare, ThinkTime: longThinkTime,
 			},
 			{
 				Customer: "titik-timbul", Brand: "Titik Timbul Braille Services", Name: "printout",
 				SchemaVersion: bronzeconf.SchemaV1, MaxImbalance: 1.10,
 				Endpoint: netip.MustParseAddrPort("[2001:db8:20::20]:9100"),
-				Hosts:    4, Slots: 3, Share: jobShare, ThinkTime: jobThink, Requests: jobRequests,
+				Hosts:    4, Slots: 3, Share: jobShare, ThinkTime: jobThinkTime, Requests: jobRequests,
 			},
 		},
 	},
 }
 
-// service is a service of a running demo.
+// service is the state of a service in a running demo.
 type service struct {
 	serviceSize
 	servers  []*Server
 	draining map[string]bool
-	// edition is part of the brand's text, so that a change can be published.
+	// edition is the number of changes. Each adds text to the published brand.
 	edition int
 }
 
@@ -119,7 +119,7 @@
 	return kept
 }
 
-func (svc *service) pool() []bronzeflow.ServerID {
+func (svc *service) servingIDs() []bronzeflow.ServerID {
 	var ids []bronzeflow.ServerID
 	for _, s := range svc.serving() {
 		ids = append(ids, s.id)
@@ -127,17 +127,17 @@
 	return ids
 }
 
-// imbalance returns the busiest serving host's flows over the mean.
+// imbalance returns the flows of the busiest serving host over the mean.
 func (svc *service) imbalance() float64 {
 	var counts []int
 	for _, s := range svc.serving() {
 		counts = append(counts, s.FlowCount())
 	}
-	return overMean(counts)
+	return maxOverMean(counts)
 }
 
-// record returns the service's record as an operator publishes it. reports
-// is the base URL of the servers' health and load endpoints.
+// record returns the encoded configuration record of the service. reports is
+// the base URL of the servers' health and load endpoints.
 func (svc *service) record(reports string) (body []byte, err error) {
 	defer annotate(&err, "write record of "+svc.Name)
 	v2 := bronzeconf.NewServiceV2()
--- a/bronzetest/disturb.go
+++ b/bronzetest/disturb.go
@@ -10,28 +10,28 @@
 	NoDisturbance = "none"
 	// Rolling replaces every balancer, one after another.
 	Rolling = "rolling"
-	// Drain takes a backend server of each service out of its pool.
+	// Drain drains a backend server of each service.
 	Drain = "drain"
 	// Both is Rolling during a Drain.
 	Both = "both"
-	// Kill ends two balancers without notice after a Drain.
+	// Kill stops two balancers without notice after a Drain.
 	Kill = "kill"
-	// Partition cuts half of the zones off from the others for a while; the
-	// platform stays with the first half.
+	// Partition separates half of the zones from the others for a while. The
+	// platform is in the first half.
 	Partition = "partition"
 	// Pause stops two balancers for longer than their lease.
 	Pause = "pause"
-	// PlatformDown makes the platform fail for a while.
+	// PlatformDown makes every call to the platform fail for a while.
 	PlatformDown = "platform-down"
-	// Silent loses what one balancer sends to backend servers for the flows
-	// that exist, and all on its open links to other balancers. New flows and
-	// new links work.
+	// Silent drops what one balancer sends to backend servers for existing
+	// flows, and everything on its open links to other balancers. New flows
+	// and new links work.
 	Silent = "silent"
-	// Reject makes a third of each pool refuse new flows.
+	// Reject makes a third of each pool refuse new flows with a reset.
 	Reject = "reject"
 )
 
-// Disturbances returns all of them.
+// Disturbances returns the names of all disturbances.
 func Disturbances() []string {
 	return []string{
 		NoDisturbance, Rolling, Drain, Both, Kill, Partition, Pause, PlatformDown, Silent, Reject,
@@ -39,20 +39,22 @@
 }
 
 const (
-	// victims is how many balancers are killed or paused.
-	victims = 2
-	// muteLinks is longer than the interval of heartbeats.
-	muteLinks = 1200 * time.Millisecond
-	// rejectOneIn is the part of a pool that refuses.
+	// maxAffected is the number of balancers that are killed or paused if
+	// there are enough.
+	maxAffected = 2
+	// muteDuration is longer than the interval between heartbeats, so that
+	// every link is used while it is muted.
+	muteDuration = 1200 * time.Millisecond
+	// One server in rejectOneIn of a pool refuses new flows.
 	rejectOneIn = 3
 	// leaveQuiet is how long a leaving balancer waits for late packets.
 	leaveQuiet = 500 * time.Millisecond
-	// leaveLimit bounds the leave of a replaced balancer.
+	// leaveLimit bounds the time that a replaced balancer has to leave.
 	leaveLimit = 10 * time.Second
 )
 
-// disturb makes the Demo's disturbance. It begins after a quarter of the
-// run, and what heals has healed after three quarters.
+// disturb causes the Demo's disturbance. It begins after a quarter of the run.
+// A temporary disturbance has ended after three quarters.
 func (r *run) disturb(ctx context.Context) (err error) {
 	defer annotate(&err, "disturb: "+r.Disturb)
 	if !sleep(ctx, r.Duration/4) {
@@ -61,14 +63,14 @@
 	span := r.Duration / 2
 	switch r.Disturb {
 	case Rolling:
-		return r.roll(ctx)
+		return r.replaceAll(ctx)
 	case Drain:
 		return r.drain()
 	case Both:
 		if err = r.drain(); err != nil {
 			return err
 		}
-		return r.roll(ctx)
+		return r.replaceAll(ctx)
 	case Kill:
 		return r.kill(ctx, span)
 	case Partition:
@@ -79,16 +81,16 @@
 		r.platform.SetDown(true)
 		sleep(ctx, span)
 		r.platform.SetDown(false)
-		r.reachable.Store(time.Now().UnixNano())
+		r.platformReachableAt.Store(time.Now().UnixNano())
 	case Silent:
-		r.silence(ctx)
+		r.silenceBalancer(ctx)
 	case Reject:
 		r.reject()
 	}
 	return nil
 }
 
-// sleep waits for d; it reports false if ctx ended before.
+// sleep waits for d. It returns false if ctx is done before.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if ctx.Err() != nil {
 		return false
@@ -103,9 +105,10 @@
 	}
 }
 
-// roll replaces every balancer: the new one is started and then the old one
-// leaves. It goes on after the end of the run's time until all are replaced.
-func (r *run) roll(ctx context.Context) error {
+// replaceAll replaces every balancer: it starts a new one, and once that is
+// ready the old one leaves. It continues past the run's duration until all are
+// replaced.
+func (r *run) replaceAll(ctx context.Context) error {
 	for _, old := range r.live() {
 		if err := r.startBalancer(ctx, old.zone); err != nil {
 			return err
@@ -120,7 +123,7 @@
 	return nil
 }
 
-// drain takes the first server of each service out.
+// drain drains the first server of each service and publishes that.
 func (r *run) drain() error {
 	for _, svc := range r.services {
 		s := svc.servers[0]
@@ -128,14 +131,15 @@
 		svc.draining[s.Instance] = true
 		r.mu.Unlock()
 		s.Drain()
-		r.shadow.SetPool(svc.Name, r.pool(svc))
+		r.baseline.SetPool(svc.Name, r.servingIDs(svc))
 	}
 	_, err := r.publish()
 	return err
 }
 
-// kill drains first: a balancer that knows nothing but the pool loses the
-// flows of a changed pool, one that remembers them loses its memory.
+// kill drains first, so that the two kinds of balancers can be compared: the
+// changed pool breaks flows of balancers that know only the pool, and the kill
+// loses the flow tables of balancers that remember flows.
 func (r *run) kill(ctx context.Context, span time.Duration) error {
 	if err := r.drain(); err != nil {
 		return err
@@ -143,15 +147,15 @@
 	if !sleep(ctx, span/2) {
 		return nil
 	}
-	for _, b := range r.live()[:r.victims()] {
-		r.drop(b)
+	for _, b := range r.live()[:r.affectedCount()] {
+		r.removeBalancer(b)
 		b.kill()
 	}
 	return nil
 }
 
-// victims leaves at least one balancer.
-func (r *run) victims() int { return min(victims, len(r.live())-1) }
+// affectedCount is maxAffected, or less so that one balancer stays unaffected.
+func (r *run) affectedCount() int { return min(maxAffected, len(r.live())-1) }
 
 func (r *run) partition(ctx context.Context, span time.Duration) {
 	sides := make(map[string]int)
@@ -161,18 +165,19 @@
 	r.fabric.Partition(sides)
 	sleep(ctx, span)
 	r.fabric.Partition(nil)
-	r.reachable.Store(time.Now().UnixNano())
+	r.platformReachableAt.Store(time.Now().UnixNano())
 }
 
 func (r *run) pause(span time.Duration) {
-	for _, b := range r.live()[:r.victims()] {
+	for _, b := range r.live()[:r.affectedCount()] {
 		b.node.Pause(span / 2)
 	}
 }
 
-// silence mutes the links for as long as it takes that each has been used:
-// then they stay silent, and new ones work.
-func (r *run) silence(ctx context.Context) {
+// silenceBalancer drops what the first balancer sends for existing flows, and
+// mutes its links for muteDuration. A link that was used meanwhile stays silent,
+// and new ones work.
+func (r *run) silenceBalancer(ctx context.Context) {
 	b := r.live()[0]
 	for _, svc := range r.services {
 		for _, s := range svc.servers {
@@ -180,9 +185,9 @@
 		}
 	}
 	control := b.node.ControlAddress()
-	r.muted.Store(&control)
-	sleep(ctx, muteLinks)
-	r.muted.Store(nil)
+	r.mutedAddress.Store(&control)
+	sleep(ctx, muteDuration)
+	r.mutedAddress.Store(nil)
 }
 
 func (r *run) reject() {
--- a/bronzetest/fabric.go
+++ b/bronzetest/fabric.go
@@ -14,43 +14,45 @@
 )
 
 const (
-	// readyInterval is how often the fabric asks a balancer whether it is
-	// ready; deadAfter without an answer it stops choosing it, readyLag
-	// after a refusal.
-	readyInterval = 100 * time.Millisecond
-	readyLag      = 200 * time.Millisecond
-	deadAfter     = 500 * time.Millisecond
-	// One packet in lateOneIn is held for up to lateBy, so that packets of
-	// one flow overtake each other.
-	lateOneIn = 50
-	lateBy    = 5 * time.Millisecond
-	// readers is how many goroutines read the fabric's egress socket.
-	readers = 4
-	// maxPacket is the longest datagram that the stand-ins read.
-	maxPacket = 4096
-	// socketBuffer is asked of the kernel for each stand-in's socket.
-	socketBuffer = 4 << 20
+	// readyInterval is the time between two polls of a balancer's readiness.
+	// The fabric stops choosing a balancer when its last 200 response is
+	// unreadyTimeout ago and it responds otherwise, or deadTimeout ago and
+	// it doesn't respond.
+	readyInterval  = 100 * time.Millisecond
+	unreadyTimeout = 200 * time.Millisecond
+	deadTimeout    = 500 * time.Millisecond
+	// One packet in delayOneIn is delayed by up to maxPacketDelay, so that
+	// packets of one flow are reordered.
+	delayOneIn     = 50
+	maxPacketDelay = 5 * time.Millisecond
+	// egressReaders is the number of goroutines that read the egress socket.
+	egressReaders = 4
+	// maxPacketBytes is the length of the longest datagram that the stand-ins
+	// read.
+	maxPacketBytes = 4096
+	// socketBufferBytes is the receive buffer requested for each socket.
+	socketBufferBytes = 4 << 20
 )
 
-// Fabric sprays every packet over the balancers by a random choice for each
-// packet, and hands the balancers' replies to the callers.
+// Fabric sends every packet to a randomly chosen balancer, and hands the
+// balancers' replies to the callers.
 type Fabric struct {
 	// Ledger counts the packets.
 	Ledger *Ledger
 
-	in, out *net.UDPConn
-	callers sync.Map // of bronzeflow.Key to func(segment)
-	sides   atomic.Pointer[map[string]int]
+	callerConn, egressConn *net.UDPConn
+	receivers              sync.Map // of bronzeflow.Key to func(segment)
+	sides                  atomic.Pointer[map[string]int]
 
-	mu      sync.RWMutex
-	targets []*target
-	used    uint8
-	split   map[string]int
-	healed  time.Time
-	random  *rand.Rand
+	mu            sync.RWMutex
+	targets       []*target
+	lastMark      uint8
+	lastPartition map[string]int
+	healedAt      time.Time
+	random        *rand.Rand
 }
 
-// target is one balancer as the fabric sees it.
+// target is one balancer to which the fabric sends packets.
 type target struct {
 	name, zone, url string
 	edge            netip.AddrPort
@@ -63,13 +65,13 @@
 func NewFabric(ledger *Ledger, seed uint64) (f *Fabric, err error) {
 	defer annotate(&err, "open fabric")
 	f = &Fabric{Ledger: ledger, random: rand.New(rand.NewPCG(seed, 1))}
-	if f.in, err = listen(); err != nil {
+	if f.callerConn, err = listen(); err != nil {
 		return nil, err
 	}
-	if f.out, err = listen(); err != nil {
+	if f.egressConn, err = listen(); err != nil {
 		return nil, err
 	}
-	for range readers {
+	for range egressReaders {
 		go f.read()
 	}
 	return f, nil
@@ -80,8 +82,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// The kernel caps what it grants, so a refusal is no failure.
-	_ = conn.SetReadBuffer(socketBuffer)
+	// The kernel may limit the buffer's size, so an error is not a failure.
+	_ = conn.SetReadBuffer(socketBufferBytes)
 	return conn, nil
 }
 
@@ -92,34 +94,34 @@
 	for _, t := range f.targets {
 		t.stop()
 	}
-	_ = f.in.Close()
-	_ = f.out.Close()
+	_ = f.callerConn.Close()
+	_ = f.egressConn.Close()
 }
 
 // Egress returns the address to which balancers send replies for callers.
-func (f *Fabric) Egress() netip.AddrPort { return addrPort(f.out) }
+func (f *Fabric) Egress() netip.AddrPort { return addrPort(f.egressConn) }
 
 func addrPort(conn *net.UDPConn) netip.AddrPort {
 	return conn.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// Add lets the fabric choose the balancer at edge as long as the HTTP server
-// at url answers /readyz. With an empty url it is always chosen. When ctx is
-// done the fabric no longer asks.
+// Add adds the balancer at edge. The fabric chooses it as long as the HTTP
+// server at url answers /readyz with status 200, or always if url is empty. It
+// polls until ctx is done.
 func (f *Fabric) Add(ctx context.Context, name, zone string, edge netip.AddrPort, url string) {
 	ctx, stop := context.WithCancel(ctx)
 	f.mu.Lock()
-	f.used++
-	t := &target{name: name, zone: zone, url: url, edge: edge, mark: f.used, stop: stop}
+	f.lastMark++
+	t := &target{name: name, zone: zone, url: url, edge: edge, mark: f.lastMark, stop: stop}
 	t.usable.Store(url == "")
 	f.targets = append(f.targets, t)
 	f.mu.Unlock()
 	if url != "" {
-		go t.watch(ctx)
+		go t.pollReady(ctx)
 	}
 }
 
-// Remove makes the fabric forget the balancers of that name.
+// Remove removes the balancers of that name.
 func (f *Fabric) Remove(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -134,9 +136,9 @@
 	f.targets = kept
 }
 
-// watch keeps usable up to date, with the lag that a real fabric has.
-func (t *target) watch(ctx context.Context) {
-	client := http.Client{Timeout: deadAfter}
+// pollReady keeps usable up to date, with a delay as a real fabric has.
+func (t *target) pollReady(ctx context.Context) {
+	client := http.Client{Timeout: deadTimeout}
 	answered := time.Now()
 	tick := time.NewTicker(readyInterval)
 	defer tick.Stop()
@@ -145,7 +147,7 @@
 		case status == http.StatusOK:
 			answered = time.Now()
 			t.usable.Store(true)
-		case status != 0 && time.Since(answered) > readyLag, time.Since(answered) > deadAfter:
+		case status != 0 && time.Since(answered) > unreadyTimeout, time.Since(answered) > deadTimeout:
 			t.usable.Store(false)
 		}
 		select {
@@ -156,7 +158,7 @@
 	}
 }
 
-// status returns the HTTP status of /readyz, 0 if there is no answer.
+// status returns the HTTP status of /readyz, or 0 if there is no response.
 func (t *target) status(ctx context.Context, client *http.Client) int {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, t.url+"/readyz", http.NoBody)
 	if err != nil {
@@ -170,16 +172,17 @@
 	return resp.StatusCode
 }
 
-// Partition cuts the zones of different sides off from each other; nil heals.
+// Partition separates the zones of different sides from each other. nil ends
+// the partition.
 func (f *Fabric) Partition(sides map[string]int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if sides == nil {
-		f.healed = time.Now()
+		f.healedAt = time.Now()
 		f.sides.Store(nil)
 		return
 	}
-	f.split = sides
+	f.lastPartition = sides
 	f.sides.Store(&sides)
 }
 
@@ -189,17 +192,18 @@
 	return sides == nil || (*sides)[a] == (*sides)[b]
 }
 
-// cutLately reports whether two zones are cut off, or were within d.
-func (f *Fabric) cutLately(a, b string, d time.Duration) bool {
+// recentlyPartitioned reports whether a partition separates two zones, or did
+// within d.
+func (f *Fabric) recentlyPartitioned(a, b string, d time.Duration) bool {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
-	recent := f.sides.Load() != nil || time.Since(f.healed) < d
-	return recent && f.split[a] != f.split[b]
+	recent := f.sides.Load() != nil || time.Since(f.healedAt) < d
+	return recent && f.lastPartition[a] != f.lastPartition[b]
 }
 
-// pick returns a usable balancer that zone can reach, and whether the packet
-// is to be late.
-func (f *Fabric) pick(zone string) (chosen *target, late time.Duration) {
+// pickTarget returns a random usable balancer that is reachable from zone, or
+// nil, and the delay of the packet.
+func (f *Fabric) pickTarget(zone string) (chosen *target, delay time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
@@ -212,15 +216,15 @@
 			chosen = t
 		}
 	}
-	if f.random.IntN(lateOneIn) == 0 {
-		late = time.Duration(f.random.Int64N(int64(lateBy)))
+	if f.random.IntN(delayOneIn) == 0 {
+		delay = time.Duration(f.random.Int64N(int64(maxPacketDelay)))
 	}
-	return chosen, late
+	return chosen, delay
 }
 
-// spray sends s from a socket in zone to a balancer chosen at random.
+// spray sends s from a socket in zone to a randomly chosen balancer.
 func (f *Fabric) spray(from *net.UDPConn, zone string, s segment) {
-	t, late := f.pick(zone)
+	t, delay := f.pickTarget(zone)
 	if t == nil {
 		return
 	}
@@ -230,25 +234,25 @@
 		return
 	}
 	write := func() { _, _ = from.WriteToUDPAddrPort(raw, t.edge) }
-	if late > 0 {
-		time.AfterFunc(late, write)
+	if delay > 0 {
+		time.AfterFunc(delay, write)
 		return
 	}
 	write()
 }
 
-// send sprays a caller's packet.
-func (f *Fabric) send(zone string, s segment) { f.spray(f.in, zone, s) }
+// send sprays a packet of a caller in zone.
+func (f *Fabric) send(zone string, s segment) { f.spray(f.callerConn, zone, s) }
 
-// attach directs the replies of the flow to receive until detach.
+// attach registers receive for the replies of the flow until detach.
 func (f *Fabric) attach(key bronzeflow.Key, receive func(*target, segment)) {
-	f.callers.Store(key, receive)
+	f.receivers.Store(key, receive)
 }
 
-func (f *Fabric) detach(key bronzeflow.Key) { f.callers.Delete(key) }
+func (f *Fabric) detach(key bronzeflow.Key) { f.receivers.Delete(key) }
 
-// at returns the balancer with that edge address, nil if there is none.
-func (f *Fabric) at(edge netip.AddrPort) *target {
+// targetAt returns the balancer with that edge address, or nil.
+func (f *Fabric) targetAt(edge netip.AddrPort) *target {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	for _, t := range f.targets {
@@ -259,10 +263,11 @@
 	return nil
 }
 
-// arrived counts a packet that came from the balancer at edge, which may be
-// another than the one that it was sent to.
-func (f *Fabric) arrived(edge netip.AddrPort, mark uint8) *target {
-	t := f.at(edge)
+// countArrival counts a packet that the balancer at edge delivered, and returns
+// that balancer. The packet counts as relayed if it was sent to another one, as
+// its mark tells.
+func (f *Fabric) countArrival(edge netip.AddrPort, mark uint8) *target {
+	t := f.targetAt(edge)
 	f.Ledger.Packets.Add(1)
 	if t != nil && t.mark != mark {
 		f.Ledger.Relayed.Add(1)
@@ -271,9 +276,9 @@
 }
 
 func (f *Fabric) read() {
-	buf := make([]byte, maxPacket)
+	buf := make([]byte, maxPacketBytes)
 	for {
-		n, edge, err := f.out.ReadFromUDPAddrPort(buf)
+		n, edge, err := f.egressConn.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			return
 		}
@@ -282,8 +287,8 @@
 			f.Ledger.WrongAnswers.Add(1)
 			continue
 		}
-		t := f.arrived(edge, s.Mark)
-		receive, ok := f.callers.Load(bronzeflow.NewKey(s.Protocol, s.Dst, s.Src))
+		t := f.countArrival(edge, s.Mark)
+		receive, ok := f.receivers.Load(bronzeflow.NewKey(s.Protocol, s.Dst, s.Src))
 		if ok {
 			receive.(func(*target, segment))(t, s)
 		}
--- a/bronzetest/ledger.go
+++ b/bronzetest/ledger.go
@@ -10,20 +10,21 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// Request is what a caller asks of a BackendServer. It is never idempotent.
+// Request is a request of a caller to a BackendServer. It is never idempotent.
 type Request struct {
-	// Flow is the hash of the flow's key, Number that of the request in it.
+	// Flow is the hash of the flow's key. Number counts the requests of the
+	// flow from 1.
 	Flow   uint64
 	Number uint32
 }
 
-// Answer is what a BackendServer replies.
+// Answer is a BackendServer's answer to a Request.
 type Answer struct {
 	Request Request
-	// Server is who ran the request, Service the hash of the service's name.
+	// Server ran the request. Service is the hash of the service's name.
 	Server  bronzeflow.ServerID
 	Service uint64
-	// Digest covers the fields above, so that a mixed answer shows.
+	// Digest is the hash of the fields above. It detects a corrupted answer.
 	Digest uint64
 }
 
@@ -50,7 +51,8 @@
 	return binary.BigEndian.AppendUint64(b, xxhash.Sum64(b))
 }
 
-// parseAnswer reads an answer; ok is false unless it is whole.
+// parseAnswer decodes an answer. ok is false unless its length and digest are
+// right.
 func parseAnswer(b []byte) (a Answer, ok bool) {
 	if len(b) != answerBytes {
 		return a, false
@@ -62,17 +64,17 @@
 	return a, a.Digest == xxhash.Sum64(b[:requestBytes+16])
 }
 
-// ledgerShards is the number of parts of a Ledger.
+// ledgerShards is the number of shards of a Ledger, each with its own lock.
 const ledgerShards = 64
 
-// Ledger counts what callers and backend servers see. All stand-ins of a run
-// share one, so that a request that ran at two servers shows. The zero
-// Ledger is ready; its methods may be called concurrently.
+// Ledger counts what callers and backend servers observe. All stand-ins of a
+// run share one, so that a request that ran at two servers is detected. The
+// zero Ledger is ready to use. Its methods may be called concurrently.
 type Ledger struct {
-	Established, Requests, Packets, Relayed        atomic.Int64
-	BrokenFlows, CutFlows, Refused, Unopened       atomic.Int64
+	Established, Requests, Packets, Relayed              atomic.Int64
+	BrokenFlows, CutFlows, Refused, Unopened             atomic.Int64
 	Misdelivered, DoubleRuns, WrongAnswers, StrayPackets atomic.Int64
-	FalseRefusals, NewFlowsOnLeaving               atomic.Int64
+	FalseRefusals, NewFlowsOnLeaving                     atomic.Int64
 
 	shards [ledgerShards]ledgerShard
 }
@@ -89,8 +91,8 @@
 	refused bool
 }
 
-// with calls fn with the record of flow under its shard's lock.
-func (l *Ledger) with(flow uint64, fn func(*flowRecord)) {
+// withFlow calls fn with the record of flow, holding its shard's lock.
+func (l *Ledger) withFlow(flow uint64, fn func(*flowRecord)) {
 	sh := &l.shards[flow%ledgerShards]
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
@@ -105,10 +107,11 @@
 	fn(r)
 }
 
-// ran notes that a server runs r. Each run after the first is a DoubleRun,
-// and the first run of a flow that was told refused is a FalseRefusal.
-func (l *Ledger) ran(r Request) {
-	l.with(r.Flow, func(f *flowRecord) {
+// recordRun records that a server runs r. It counts each run after the first as
+// a double run, and the first run in a flow whose caller was told that nothing
+// ran as a false refusal.
+func (l *Ledger) recordRun(r Request) {
+	l.withFlow(r.Flow, func(f *flowRecord) {
 		if f.refused && len(f.runs) == 0 {
 			l.FalseRefusals.Add(1)
 		}
@@ -119,10 +122,11 @@
 	})
 }
 
-// told notes that the caller of flow was told that nothing of it ran.
-func (l *Ledger) told(flow uint64) {
+// recordRefusal records that the caller of flow was told that nothing of it
+// ran. If something did, it counts a false refusal.
+func (l *Ledger) recordRefusal(flow uint64) {
 	l.Refused.Add(1)
-	l.with(flow, func(f *flowRecord) {
+	l.withFlow(flow, func(f *flowRecord) {
 		if !f.refused && len(f.runs) > 0 {
 			l.FalseRefusals.Add(1)
 		}
@@ -130,19 +134,19 @@
 	})
 }
 
-// tried notes that an opening of flow reached server.
-func (l *Ledger) tried(flow uint64, server bronzeflow.ServerID) {
-	l.with(flow, func(f *flowRecord) { f.tried[server] = true })
+// recordAttempt records that an opening of flow reached server.
+func (l *Ledger) recordAttempt(flow uint64, server bronzeflow.ServerID) {
+	l.withFlow(flow, func(f *flowRecord) { f.tried[server] = true })
 }
 
-// accepted notes that server accepted flow.
-func (l *Ledger) accepted(flow uint64, server bronzeflow.ServerID) {
-	l.with(flow, func(f *flowRecord) { f.server = server })
+// recordAccept records that server accepted flow.
+func (l *Ledger) recordAccept(flow uint64, server bronzeflow.ServerID) {
+	l.withFlow(flow, func(f *flowRecord) { f.server = server })
 }
 
-// serverOf returns the server that last accepted flow, 0 if there is none.
+// serverOf returns the server that last accepted flow, or 0.
 func (l *Ledger) serverOf(flow uint64) (id bronzeflow.ServerID) {
-	l.with(flow, func(f *flowRecord) { id = f.server })
+	l.withFlow(flow, func(f *flowRecord) { id = f.server })
 	return id
 }
 
--- a/bronzetest/result.go
+++ b/bronzetest/result.go
@@ -9,23 +9,25 @@
 )
 
 const (
-	// maxConfigSeconds is the time in which a change is in force everywhere.
+	// maxConfigSeconds is the time within which a change must be in force on
+	// every balancer.
 	maxConfigSeconds = 6
-	// maxControlBytes is what a balancer may send for control in a second.
-	maxControlBytes = 6 << 10
-	// fairFlows is how many flows a host must have for its service's
-	// imbalance to be judged.
-	fairFlows = 50
-	// killShare is the part of hash alone's broken flows that a kill may
-	// break.
-	killShare = 0.25
-	// retryBurst is how many attempts a balancer's retry budget of one
-	// service may be ahead of its share.
+	// maxControlBytesPerSecond is the limit of ControlBytesPerSecond.
+	maxControlBytesPerSecond = 6 << 10
+	// minFlowsForImbalance is the mean number of flows per host below which a
+	// service's imbalance is not checked.
+	minFlowsForImbalance = 50
+	// maxKillShare is the limit of the flows that a kill breaks, as a share of
+	// those that hash alone breaks.
+	maxKillShare = 0.25
+	// retryBurst is the number of attempts by which a balancer may exceed its
+	// retry budget for one service.
 	retryBurst = 10
 )
 
-// Result is what a Demo counted. Everything but the four fields whose
-// comment says so is counted at the two ends of the flows.
+// Result has the counts of a Demo. Flows, requests and packets are counted at
+// the two ends of the flows. The balancers count only the last four exported
+// fields.
 type Result struct {
 	Deployment string
 	Disturb    string
@@ -33,21 +35,25 @@
 	Balancers  int
 	Seconds    float64
 
-	// Flows is the number of established flows, Requests of answered ones.
+	// Flows is the number of established flows, Requests that of answered
+	// requests.
 	Flows    int64
 	Requests int64
-	// BrokenFlows were established and then reset, or got no answer in five
-	// seconds; CutFlows are those whose two ends a partition separated.
+	// BrokenFlows were established and then reset, or got no answer within five
+	// seconds. CutFlows are those of which a partition separated the two ends;
+	// they are not in BrokenFlows.
 	BrokenFlows int64
 	CutFlows    int64
-	// RefusedFlows were told that nothing ran; UnopenedFlows were told
-	// nothing in five seconds.
+	// RefusedFlows were told that nothing ran. UnopenedFlows got no reply
+	// within five seconds.
 	RefusedFlows  int64
 	UnopenedFlows int64
-	// Misdelivered counts packets for another service's address, DoubleRuns
-	// the runs of a request after its first, FalseRefusals the flows that
-	// were told that nothing ran while something did, WrongAnswers the
-	// answers that were not whole or not the flow's own.
+	// Misdelivered counts packets to a server that doesn't have the destination
+	// address or can't decode them. DoubleRuns counts the runs of a request
+	// after its first. FalseRefusals counts flows that were told that nothing
+	// ran although something did. WrongAnswers counts requests and replies that
+	// couldn't be decoded, and answers that don't belong to the flow's last
+	// request.
 	Misdelivered  int64
 	DoubleRuns    int64
 	FalseRefusals int64
@@ -55,33 +61,36 @@
 	// NewFlowsOnLeaving were accepted by a server more than three seconds
 	// after its drain.
 	NewFlowsOnLeaving int64
-	// StrayPackets reached a caller outside its sequence and were ignored.
+	// StrayPackets counts replies to an opening that neither accept nor refuse
+	// it, and resets with an unexpected sequence number. Callers ignore them.
 	StrayPackets int64
-	// ConfigSeconds is the time from publishing a change, or from the
-	// platform's return, until it was in force on every balancer; -1 if it
-	// never was.
+	// ConfigSeconds is the time from publishing a change, or from when the
+	// platform was reachable again if that was later, until the change was in
+	// force on every balancer. It is -1 if it never was.
 	ConfigSeconds float64
-	// Imbalance is by service the busiest serving host's concurrent flows
-	// over the mean, averaged over the run after its start.
-	// HashAloneImbalance is that of a rendezvous hash for the same flows,
-	// HashAloneBroken the flows that it would have sent elsewhere.
+	// Imbalance is, by service, the concurrent flows of the busiest serving
+	// host over the mean, averaged over the run after its ramp-up.
+	// HashAloneImbalance is that of a rendezvous hash for the same flows.
+	// HashAloneBroken counts the flows that this hash would have moved to
+	// another server.
 	Imbalance          map[string]float64
 	HashAloneImbalance map[string]float64
 	HashAloneBroken    int
-	// FlowsPerHost is by service the mean of concurrent flows.
+	// FlowsPerHost is, by service, the mean number of concurrent flows of a
+	// host.
 	FlowsPerHost map[string]float64
-	// RelayedShare is the share of packets that another balancer delivered
-	// than the one that the sender chose.
+	// RelayedShare is the share of packets that were delivered by another
+	// balancer than the one that the fabric had chosen.
 	RelayedShare     float64
 	PacketsPerSecond float64
-	// OpensTried are the flows whose opening reached a server, FurtherServers
-	// the servers beyond the first that they reached.
+	// OpensTried is the number of flows whose opening reached a server.
+	// FurtherServers counts the servers after the first that they reached.
 	OpensTried     int
 	FurtherServers int
 
-	// ControlBytesPerSecond is what a balancer sent on its control links, on
-	// average; FlowMessageBytesPerSecond for messages about single flows.
-	// Both are the balancers' own counts, as are Refusals and Retries.
+	// ControlBytesPerSecond is the mean that a balancer sent on its control
+	// links, FlowMessageBytesPerSecond that for messages about single flows.
+	// Refusals and Retries are by reason. The balancers count all four.
 	ControlBytesPerSecond     float64
 	FlowMessageBytesPerSecond float64
 	Refusals                  map[string]int64
@@ -90,7 +99,7 @@
 	maxImbalance map[string]float64
 }
 
-// Violations names each promise that the run broke.
+// Violations describes each promise that the run broke.
 func (r *Result) Violations() (broken []string) {
 	check := func(kept bool, format string, args ...any) {
 		if !kept {
@@ -107,16 +116,16 @@
 		"ConfigSeconds is %.1f, over %d or never", r.ConfigSeconds, maxConfigSeconds)
 	switch r.Disturb {
 	case Kill:
-		check(r.BrokenFlows == 0 || float64(r.BrokenFlows) < killShare*float64(r.HashAloneBroken),
+		check(r.BrokenFlows == 0 || float64(r.BrokenFlows) < maxKillShare*float64(r.HashAloneBroken),
 			"BrokenFlows is %d, hash alone breaks %d", r.BrokenFlows, r.HashAloneBroken)
 	case Pause, Silent:
-		// Neither is a planned change; what was lost is shown.
+		// Neither is a planned change, so broken flows are only reported.
 	default:
 		check(r.BrokenFlows == 0, "BrokenFlows is %d", r.BrokenFlows)
 	}
 	switch r.Disturb {
 	case NoDisturbance:
-		r.checkSteady(check)
+		r.checkUndisturbed(check)
 	case PlatformDown:
 		check(r.UnopenedFlows == 0, "UnopenedFlows is %d", r.UnopenedFlows)
 	case Reject:
@@ -127,19 +136,19 @@
 	return broken
 }
 
-// checkSteady checks what is promised of a run without a disturbance.
-func (r *Result) checkSteady(check func(bool, string, ...any)) {
+// checkUndisturbed checks the promises for a run without a disturbance.
+func (r *Result) checkUndisturbed(check func(bool, string, ...any)) {
 	check(r.RefusedFlows == 0, "RefusedFlows is %d", r.RefusedFlows)
 	check(r.UnopenedFlows == 0, "UnopenedFlows is %d", r.UnopenedFlows)
-	check(r.ControlBytesPerSecond <= maxControlBytes,
-		"ControlBytesPerSecond is %.0f, over %d", r.ControlBytesPerSecond, maxControlBytes)
+	check(r.ControlBytesPerSecond <= maxControlBytesPerSecond,
+		"ControlBytesPerSecond is %.0f, over %d", r.ControlBytesPerSecond, maxControlBytesPerSecond)
 	for _, name := range slices.Sorted(maps.Keys(r.Imbalance)) {
-		fair := r.FlowsPerHost[name] < fairFlows || r.Imbalance[name] <= r.maxImbalance[name]
-		check(fair, "Imbalance of %s is %.3f, over %.2f", name, r.Imbalance[name], r.maxImbalance[name])
+		balanced := r.FlowsPerHost[name] < minFlowsForImbalance || r.Imbalance[name] <= r.maxImbalance[name]
+		check(balanced, "Imbalance of %s is %.3f, over %.2f", name, r.Imbalance[name], r.maxImbalance[name])
 	}
 }
 
-// WriteTable writes the result for a person to read.
+// WriteTable writes the result as a table for people.
 func (r *Result) WriteTable(w io.Writer) (err error) {
 	defer annotate(&err, "write table")
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
