--- a/cmd/bronzeusher/check.go
+++ b/cmd/bronzeusher/check.go
@@ -20,8 +20,9 @@
 	Deploy   string   `type:"existingfile" help:"Deploy file of the platform; its templates are looked for from this folder."`
 }
 
-// Run lists every fault of the deploy file and of the records, each on its own
-// and all together, and the first fault of each settings file.
+// Run prints the first fault of each settings file and every fault of the
+// deploy file. If there are none, it prints every fault of the records, which
+// are checked one by one and for conflicts with each other.
 func (c *checkCommand) Run(p *program) (err error) {
 	faults, err := c.faults()
 	if err != nil {
@@ -46,7 +47,7 @@
 	return err
 }
 
-// faults returns those of the settings and the deploy file.
+// faults returns the faults of the settings files and of the deploy file.
 func (c *checkCommand) faults() (faults []string, err error) {
 	for _, file := range c.Settings {
 		if _, err := bronzeedge.ReadConfig(file); err != nil {
@@ -95,8 +96,8 @@
 	return records, nil
 }
 
-// readRecord reads at most a byte over the limit, which is enough to refuse
-// the record.
+// readRecord reads at most one byte more than bronzeconf.MaxRecordBytes, which
+// is enough for the record to be refused.
 func readRecord(file string) (body []byte, err error) {
 	defer func() { err = errors.Wrap(err, "read record") }()
 	f, err := os.Open(file)
--- a/cmd/bronzeusher/cli.go
+++ b/cmd/bronzeusher/cli.go
@@ -22,15 +22,15 @@
 
 const envPrefix = "BRONZEUSHER"
 
-// program is one run of the command line, with its surroundings as fields so
-// that tests can replace them.
+// program is one invocation of the command line. Its outputs and signals are
+// fields so that tests can replace them.
 type program struct {
 	Stdout  io.Writer
 	Stderr  io.Writer
 	Signals <-chan os.Signal
 }
 
-// commands is the grammar of the command line.
+// commands declares the subcommands and their flags for kong.
 type commands struct {
 	Serve   serveCommand   `cmd:"" help:"Run a balancer until SIGTERM."`
 	Check   checkCommand   `cmd:"" help:"Validate configuration records before they are published."`
@@ -39,7 +39,7 @@
 	Version versionCommand `cmd:"" help:"Print the version."`
 }
 
-// errFailed ends a command that has already printed why it failed.
+// errFailed is returned by a command that has already printed why it failed.
 var errFailed = errors.New("failed")
 
 // run parses args, runs the chosen command and returns the exit code.
@@ -64,20 +64,20 @@
 	}
 	kctx.Bind(p)
 	kctx.BindTo(ctx, (*context.Context)(nil))
-	return p.result(kctx, kctx.Run())
+	return p.exitCode(kctx, kctx.Run())
 }
 
-// result turns the error of a command into an exit code, and a fault of a
-// setting into the name of its flag.
-func (p *program) result(kctx *kong.Context, err error) int {
-	var fault *bronzenode.FieldError
+// exitCode prints the error of a command, unless the command has printed it,
+// and returns the exit code. An invalid setting is reported under its flag.
+func (p *program) exitCode(kctx *kong.Context, err error) int {
+	var fieldErr *bronzenode.FieldError
 	switch {
 	case err == nil:
 		return exitOK
 	case errors.Is(err, errFailed):
 		return exitFailed
-	case errors.As(err, &fault):
-		return p.fail(fmt.Errorf("--%s: %s", flagName(kctx, fault.Field), fault.Reason), exitUsage)
+	case errors.As(err, &fieldErr):
+		return p.fail(fmt.Errorf("--%s: %s", flagName(kctx, fieldErr.Field), fieldErr.Reason), exitUsage)
 	default:
 		return p.fail(err, exitFailed)
 	}
@@ -88,7 +88,8 @@
 	return code
 }
 
-// flagName returns the name of the flag that sets the field.
+// flagName returns the name of the flag that sets the field, or field itself
+// if no flag does.
 func flagName(kctx *kong.Context, field string) string {
 	for _, flag := range kctx.Flags() {
 		if strings.EqualFold(strings.ReplaceAll(flag.Name, "-", ""), field) {
--- a/cmd/bronzeusher/cli_test.go
+++ b/cmd/bronzeusher/cli_test.go
@@ -23,7 +23,7 @@
 	"bronzeusher.example/bronzeusher/bronzesteer"
 )
 
-// runProgram runs the command line and returns what it printed.
+// runProgram runs the command line and returns its exit code and output.
 func runProgram(t *testing.T, signals <-chan os.Signal, args ...string) (code int, stdout, stderr string) {
 	t.Helper()
 	var out, errs bytes.Buffer
@@ -41,7 +41,7 @@
 	return append(args, more...)
 }
 
-func TestWrongSettingsNameTheFlag(t *testing.T) {
+func TestInvalidFlag(t *testing.T) {
 	cases := map[string][]string{
 		"--edge-address":    serveArgs("--edge-address=here"),
 		"--control-address": serveArgs("--control-address=0.0.0.0:1"),
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestWrongEnvironmentNamesTheVariable(t *testing.T) {
+func TestInvalidEnvironmentVariable(t *testing.T) {
 	t.Setenv("BRONZEUSHER_LEAVE_QUIET", "soon")
 	code, _, stderr := runProgram(t, nil, serveArgs()...)
 	require.Equal(t, exitUsage, code)
@@ -90,10 +90,10 @@
 	"Addresses":["198.51.100.1"],"Rules":[{"Protocol":"TCP","Port":443}],
 	"Pool":[{"Instance":"map-1","Address":"192.0.2.1:6080","AvailabilityZone":"riga-a"}]}`
 
-// An operator sees every fault of all files before publishing, and not only
-// the first: an unknown field and a bad address in one record, a claim that
-// another record has, and a file that is no JSON.
-func TestCheckListsEveryFault(t *testing.T) {
+// Every fault of all files is listed, not only the first: an unknown field and
+// an invalid address in one record, a record that conflicts with another, and a
+// file that is not JSON.
+func TestCheckRecords(t *testing.T) {
 	dir := t.TempDir()
 	good := writeRecord(t, dir, "good", goodRecord)
 	code, stdout, stderr := runProgram(t, nil, "check", good)
@@ -112,7 +112,7 @@
 	require.NotContains(t, stdout, "good: ")
 }
 
-func TestCheckNamesMissingFile(t *testing.T) {
+func TestCheckMissingFile(t *testing.T) {
 	code, _, stderr := runProgram(t, nil, "check", filepath.Join(t.TempDir(), "absent.json"))
 	require.Equal(t, exitUsage, code)
 	require.Contains(t, stderr, "absent.json")
@@ -156,10 +156,10 @@
 	server.Close()
 	code, _, stderr = runProgram(t, nil, "show", address)
 	require.Equal(t, exitFailed, code)
-	require.Contains(t, stderr, "ask the balancer")
+	require.Contains(t, stderr, "query the balancer")
 }
 
-// logLines hands over the messages of a JSON log.
+// logLines is the writer of a JSON log and sends each line's message.
 type logLines chan string
 
 func (l logLines) Write(b []byte) (n int, err error) {
@@ -171,9 +171,9 @@
 	return len(b), nil
 }
 
-// An operator stops a balancer. The first SIGTERM makes it leave, and what it
-// left undone is in the log, which has a JSON object in each line.
-func TestServeLeavesOnSignal(t *testing.T) {
+// The first SIGTERM makes the balancer leave the fleet. Its log has a JSON object
+// in each line, and the last line reports the outcome of the leave.
+func TestServeSignal(t *testing.T) {
 	signals := make(chan os.Signal, 2)
 	lines := make(logLines, 16)
 	p := program{Stdout: io.Discard, Stderr: lines, Signals: signals}
@@ -186,21 +186,21 @@
 	require.Equal(t, "left", <-lines)
 }
 
-// An operator can't wait. The balancer is leaving and waits for its fabric to
-// go quiet, which it won't for an hour; the second SIGTERM ends it at once.
-func TestServeEndsOnSecondSignal(t *testing.T) {
+// A leaving balancer would wait an hour without packets, as set by the flags.
+// The second SIGTERM stops it at once.
+func TestServeSecondSignal(t *testing.T) {
 	signals := make(chan os.Signal, 2)
 	signals <- syscall.SIGTERM
 	signals <- syscall.SIGTERM
 	code, _, stderr := runProgram(t, signals, serveArgs("--leave-quiet=1h", "--leave-limit=1h")...)
 	require.Equal(t, exitFailed, code)
-	require.Contains(t, stderr, errEndedAtOnce.Error())
+	require.Contains(t, stderr, errSecondSignal.Error())
 }
 
 const edgeSettings = `{"Name": "edge-1", "AvailabilityZone": "a", "DataAddress": "127.0.0.1:1", "ReadyAddress": "127.0.0.1:2",
 	"ControlAddress": "127.0.0.1:3", "PeerAddress": "127.0.0.1:4", "Store": "127.0.0.1:5"}`
 
-func TestCheckNamesTheFieldOfSettings(t *testing.T) {
+func TestCheckSettings(t *testing.T) {
 	dir := t.TempDir()
 	good := writeRecord(t, dir, "good", edgeSettings)
 	code, stdout, stderr := runProgram(t, nil, "check", "--settings="+good)
@@ -212,7 +212,7 @@
 	require.Contains(t, stdout, "bad.json: ReadyAddress: is missing")
 }
 
-func TestCheckNamesTheFieldOfADeployFile(t *testing.T) {
+func TestCheckDeployFile(t *testing.T) {
 	bad := writeRecord(t, t.TempDir(), "deploy", "build = 'make'\n[roles.edge]\nrun = 'x'\non = 'edge'\nshare = 2.0\n")
 	code, stdout, _ := runProgram(t, nil, "check", "--deploy="+bad)
 	require.Equal(t, exitFailed, code)
--- a/cmd/bronzeusher/demo.go
+++ b/cmd/bronzeusher/demo.go
@@ -20,7 +20,7 @@
 	JSON       bool          `name:"json" help:"Print one JSON object instead of a table."`
 }
 
-// Run runs the demo and names the promises that it broke.
+// Run runs the demo, prints its result and then each promise that it broke.
 func (c *demoCommand) Run(ctx context.Context, p *program) (err error) {
 	demo := bronzetest.Demo{
 		Deployment: c.Deployment,
@@ -40,13 +40,13 @@
 	if err = writeResult(p.Stdout, result, c.JSON); err != nil {
 		return err
 	}
-	broken := result.Violations()
-	for _, promise := range broken {
-		if _, err = fmt.Fprintln(p.Stderr, "broken promise:", promise); err != nil {
+	violations := result.Violations()
+	for _, violation := range violations {
+		if _, err = fmt.Fprintln(p.Stderr, "broken promise:", violation); err != nil {
 			return err
 		}
 	}
-	if len(broken) > 0 {
+	if len(violations) > 0 {
 		return errFailed
 	}
 	return nil
@@ -59,7 +59,7 @@
 	return result.WriteTable(w)
 }
 
-// untilSignal returns a context that ends with the first signal.
+// untilSignal returns a context that is canceled by the first signal.
 func (p *program) untilSignal(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
--- a/cmd/bronzeusher/doc.go
+++ b/cmd/bronzeusher/doc.go
@@ -1,5 +1,5 @@
-// Command bronzeusher is a layer-4 load balancer for services of many
-// customers, the same program on every entry VM.
+// Command bronzeusher is a layer-4 load balancer for the services of many
+// customers. Every entry VM runs the same program.
 //
 // # Usage
 //
@@ -9,10 +9,11 @@
 //	bronzeusher demo --deployment klang --disturb rolling
 //	bronzeusher version
 //
-// Each flag can be set by an environment variable, too: --edge-address is
+// Each flag can also be set by an environment variable: --edge-address is
 // BRONZEUSHER_EDGE_ADDRESS. Logs go to standard error as JSON lines. serve
-// leaves the fleet gracefully on SIGTERM; a second SIGTERM ends it at once.
+// leaves the fleet gracefully on SIGTERM; a second SIGTERM stops it at once.
 //
-// The exit code is 0 for success, 1 for a failure, which includes records with
-// faults and a demo that broke a promise, and 2 for a wrong command line.
+// The exit code is 0 for success, 1 for a failure, which includes invalid
+// records and a demo that broke a promise, and 2 for an invalid command line
+// or setting.
 package main
--- a/cmd/bronzeusher/docs_test.go
+++ b/cmd/bronzeusher/docs_test.go
@@ -20,17 +20,18 @@
 	"bronzeusher.example/bronzeusher/bronzepool"
 )
 
-// operatorsPage returns the page that has a row for each counter.
-func operatorsPage(t *testing.T) string {
+// operationsPage returns the page that documents each counter, reason and flag
+// of serve.
+func operationsPage(t *testing.T) string {
 	t.Helper()
 	b, err := os.ReadFile("../../docs/OPERATIONS.md")
 	require.NoError(t, err)
 	return string(b)
 }
 
-// declared returns the package-level names of a source file, and the values
-// of those that are string constants.
-func declared(t *testing.T, file string) map[string]string {
+// declaredNames returns the package-level constants and variables of a source
+// file, with the values of those that are set to a string literal.
+func declaredNames(t *testing.T, file string) map[string]string {
 	t.Helper()
 	f, err := parser.ParseFile(token.NewFileSet(), "../../"+file, nil, 0)
 	require.NoError(t, err)
@@ -65,9 +66,9 @@
 	return s
 }
 
-// An operator who sees a reason grow finds a row for it. The reasons are read
-// from the code, so that a new one without a row fails here.
-func TestOperatorsPageHasEachReason(t *testing.T) {
+// Every reason in the name of a counter is documented. The reasons are read from
+// the code, so that a new one without a row fails the test.
+func TestOperationsPageReasons(t *testing.T) {
 	want := []string{"`Malformed.Other`", "`Config.VMsFailed`"}
 	for _, r := range bronzecore.Reasons() {
 		want = append(want, "| `"+r.String()+"` |")
@@ -85,7 +86,7 @@
 	}
 	for _, s := range sources {
 		found := len(want)
-		for name, value := range declared(t, s.file) {
+		for name, value := range declaredNames(t, s.file) {
 			if value != "" && strings.HasPrefix(name, s.prefix) {
 				want = append(want, "| `"+s.counter+value+"` |")
 			}
@@ -93,7 +94,7 @@
 		require.Greater(t, len(want), found, "no reasons in %s", s.file)
 	}
 	found := len(want)
-	for name := range declared(t, "bronzewire/errors.go") {
+	for name := range declaredNames(t, "bronzewire/errors.go") {
 		if reason, ok := strings.CutPrefix(name, "Err"); ok {
 			want = append(want, "| `Malformed."+reason+"` |")
 		}
@@ -103,17 +104,17 @@
 }
 
 func loopbackConfig() bronzenode.Config {
-	free := netip.MustParseAddrPort("127.0.0.1:0")
+	loopback := netip.MustParseAddrPort("127.0.0.1:0")
 	return bronzenode.Config{
 		Name: "a", Fleet: "test", AvailabilityZone: "riga-a", Plain: true,
-		EdgeAddress: free, DataAddress: free, ControlAddress: free, HTTPAddress: free,
+		EdgeAddress: loopback, DataAddress: loopback, ControlAddress: loopback, HTTPAddress: loopback,
 		FabricAddress: netip.MustParseAddrPort("127.0.0.1:6080"),
 	}
 }
 
-// Each counter that a node has from its start has a row, those with a reason
-// by the reason.
-func TestOperatorsPageHasEachCounter(t *testing.T) {
+// Every counter of a new node is documented. A name with a reason needs a row
+// for the reason, too.
+func TestOperationsPageCounters(t *testing.T) {
 	n, err := bronzenode.New(loopbackConfig())
 	require.NoError(t, err)
 	defer n.Kill()
@@ -128,7 +129,7 @@
 	requireRows(t, want)
 }
 
-func TestOperatorsPageHasEachFlag(t *testing.T) {
+func TestOperationsPageFlags(t *testing.T) {
 	parser, err := kong.New(&commands{})
 	require.NoError(t, err)
 	var want []string
@@ -146,7 +147,7 @@
 
 func requireRows(t *testing.T, want []string) {
 	t.Helper()
-	page := operatorsPage(t)
+	page := operationsPage(t)
 	var missing []string
 	for _, row := range want {
 		if !strings.Contains(page, row) {
--- a/cmd/bronzeusher/serve.go
+++ b/cmd/bronzeusher/serve.go
@@ -13,11 +13,12 @@
 	"bronzeusher.example/bronzeusher/bronzenode"
 )
 
-// errEndedAtOnce says that a leave was cut short by a second signal.
-var errEndedAtOnce = errors.New("ended at once by a second signal")
+// errSecondSignal is returned when a second signal interrupts the leave.
+var errSecondSignal = errors.New("ended at once by a second signal")
 
-// serveCommand has a flag for each field of bronzenode.Config, of the same
-// name.
+// serveCommand has flags for the settings of bronzenode.Config. Fields of Config
+// and their flags have the same names, so that a FieldError can be reported
+// under the flag.
 type serveCommand struct {
 	Name             string `required:"" help:"Name of this node, one of a kind in the fleet."`
 	Fleet            string `required:"" help:"Name of the fleet."`
@@ -51,7 +52,7 @@
 	LogLevel   string        `default:"info" enum:"debug,info,warn,error" help:"Least level that is logged."`
 }
 
-// Run serves until a signal ends it.
+// Run serves until the node fails or a signal makes it leave.
 func (c *serveCommand) Run(ctx context.Context, p *program) (err error) {
 	cfg := c.config()
 	if cfg.Log, err = newLog(p.Stderr, c.LogLevel); err != nil {
@@ -93,7 +94,7 @@
 	}
 }
 
-// newLog returns a log of JSON lines.
+// newLog returns a logger that writes JSON lines to w.
 func newLog(w io.Writer, level string) (log *logrus.Logger, err error) {
 	log = logrus.New()
 	log.SetOutput(w)
@@ -109,8 +110,8 @@
 	return log, err
 }
 
-// serve runs n until it fails or has left. The first signal makes it leave,
-// the second ends it at once.
+// serve runs n until it fails or has left. The first signal makes it leave the
+// fleet, the second stops it at once.
 func (p *program) serve(ctx context.Context, n *bronzenode.Node) (err error) {
 	running, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -138,6 +139,6 @@
 		if err = <-ended; err != nil {
 			return err
 		}
-		return errEndedAtOnce
+		return errSecondSignal
 	}
 }
--- a/cmd/bronzeusher/show.go
+++ b/cmd/bronzeusher/show.go
@@ -35,7 +35,7 @@
 	return show(ctx, c, bronzenode.StatusPath, p.Stdout, writeStatus)
 }
 
-// show prints the state at a path of the asked address, as JSON or by write.
+// show fetches the status at path and prints it as JSON or with write.
 func show[T any](ctx context.Context, c *showCommand, path string, w io.Writer, write func(io.Writer, *T) error) (err error) {
 	status, err := fetchStatus[T](ctx, "http://"+c.Address.String()+path)
 	if err != nil {
@@ -53,7 +53,7 @@
 	return encoder.Encode(status)
 }
 
-// writeEdge prints the state of a bronzeedge.
+// writeEdge prints the status of a bronzeedge.
 func writeEdge(w io.Writer, s *bronzeedge.Status) (err error) {
 	t := &tables{w: w}
 	t.begin("NODE", s.Name)
@@ -79,7 +79,7 @@
 }
 
 func fetchStatus[T any](ctx context.Context, url string) (status *T, err error) {
-	defer func() { err = errors.Wrap(err, "ask the balancer") }()
+	defer func() { err = errors.Wrap(err, "query the balancer") }()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, http.NoBody)
 	if err != nil {
 		return nil, err
@@ -97,20 +97,21 @@
 	return status, err
 }
 
-// tables writes aligned rows; after an error it writes nothing more.
+// tables writes tables with aligned columns. After the first error it writes
+// nothing more.
 type tables struct {
 	w   io.Writer
-	t   *tabwriter.Writer
+	tw  *tabwriter.Writer
 	err error
 }
 
-// begin ends the table before and starts one with a header.
+// begin ends the previous table, if any, and starts one with the header.
 func (t *tables) begin(header ...any) {
 	t.end()
-	if t.t != nil {
+	if t.tw != nil {
 		t.print("\n")
 	}
-	t.t = tabwriter.NewWriter(t.w, 0, 0, 2, ' ', 0)
+	t.tw = tabwriter.NewWriter(t.w, 0, 0, 2, ' ', 0)
 	t.row(header...)
 }
 
@@ -126,13 +127,13 @@
 
 func (t *tables) print(s string) {
 	if t.err == nil {
-		_, t.err = io.WriteString(t.t, s)
+		_, t.err = io.WriteString(t.tw, s)
 	}
 }
 
 func (t *tables) end() {
-	if t.t != nil && t.err == nil {
-		t.err = t.t.Flush()
+	if t.tw != nil && t.err == nil {
+		t.err = t.tw.Flush()
 	}
 }
 
