--- a/cmd/bronzematrix/experiment.go
+++ b/cmd/bronzematrix/experiment.go
@@ -12,13 +12,14 @@
 
 // Data is the content of matrix.json. A part that was not measured is nil.
 type Data struct {
-	// Matrix has all disturbances at one number of balancers, Sizes some of
-	// them at several.
+	// Matrix has the runs with one number of balancers, by default under all
+	// disturbances. Sizes has those with several numbers, under the
+	// sizeDisturbances.
 	Matrix *Experiment
 	Sizes  *Experiment
 }
 
-func (d *Data) put(e *Experiment, sizes bool) {
+func (d *Data) set(e *Experiment, sizes bool) {
 	if sizes {
 		d.Sizes = e
 		return
@@ -38,10 +39,10 @@
 // Experiment is a sequence of runs.
 type Experiment struct {
 	bronzereport.Source
-	// Arguments are the flags that repeat it.
+	// Arguments are the flags that reproduce the experiment.
 	Arguments string
-	// Seconds is how long callers were busy in each run, but for a change of
-	// balancers that took longer.
+	// Seconds is how long callers were busy in each run. A run whose rolling
+	// replacement of balancers took longer lasted until its end.
 	Seconds float64
 	Runs    []Run
 }
@@ -49,17 +50,17 @@
 // Run is one run of the demo.
 type Run struct {
 	bronzetest.Result
-	// Faults are the promises that the run broke, or why it couldn't be made.
+	// Faults are the promises that the run broke, or the error of a failed run.
 	Faults []string
-	// Failed tells that it couldn't be made, so that its counts mean nothing.
+	// Failed reports that the run ended with an error and has no counts.
 	Failed bool
 }
 
 // sizeDisturbances are run for every number of balancers.
 var sizeDisturbances = []string{bronzetest.NoDisturbance, bronzetest.Rolling, bronzetest.Kill}
 
-// measure runs every case that the flags ask for. An interrupt ends it
-// without a result, since an interrupted run counts too little.
+// measure runs every case that the flags select. An interrupt ends it without
+// a result because the counts of the interrupted run are incomplete.
 func measure(ctx context.Context, opts *options, progress io.Writer) (e *Experiment, err error) {
 	e = &Experiment{Arguments: opts.arguments(), Seconds: opts.Duration.Seconds()}
 	if e.Source, err = bronzereport.NewSource(ctx); err != nil {
@@ -72,7 +73,7 @@
 		if err != nil {
 			return nil, err
 		}
-		e.Runs = append(e.Runs, newRun(ctx, demo))
+		e.Runs = append(e.Runs, runDemo(ctx, demo))
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
@@ -80,9 +81,9 @@
 	return e, nil
 }
 
-// newRun runs a demo. One that couldn't be run doesn't end the experiment,
-// which takes minutes, but shows in its row.
-func newRun(ctx context.Context, demo bronzetest.Demo) Run {
+// runDemo runs a demo. Its error is recorded in the Run and doesn't end the
+// experiment, which takes minutes.
+func runDemo(ctx context.Context, demo bronzetest.Demo) Run {
 	result, err := demo.Run(ctx)
 	if err != nil {
 		r := Run{Failed: true, Faults: []string{err.Error()}}
@@ -113,15 +114,15 @@
 	return all
 }
 
-// arguments returns the flags that decide what is measured.
+// arguments returns the flags that determine what is measured.
 func (o *options) arguments() string {
-	which := fmt.Sprintf("--disturbances %s --balancers %d", strings.Join(o.Disturbances, ","), o.Balancers)
+	selection := fmt.Sprintf("--disturbances %s --balancers %d", strings.Join(o.Disturbances, ","), o.Balancers)
 	if len(o.Disturbances) == len(bronzetest.Disturbances()) {
-		which = fmt.Sprintf("--disturbances %s --balancers %d", allDisturbances, o.Balancers)
+		selection = fmt.Sprintf("--disturbances %s --balancers %d", allDisturbances, o.Balancers)
 	}
 	if len(o.Sizes) > 0 {
-		which = "--sizes " + strings.Trim(strings.ReplaceAll(fmt.Sprint(o.Sizes), " ", ","), "[]")
+		selection = "--sizes " + strings.Trim(strings.ReplaceAll(fmt.Sprint(o.Sizes), " ", ","), "[]")
 	}
 	return fmt.Sprintf("--deployments %s %s --duration %s --seeds %d",
-		strings.Join(o.Deployments, ","), which, o.Duration, o.Seeds)
+		strings.Join(o.Deployments, ","), selection, o.Duration, o.Seeds)
 }
--- a/cmd/bronzematrix/main.go
+++ b/cmd/bronzematrix/main.go
@@ -73,7 +73,7 @@
 		if err != nil {
 			return err
 		}
-		data.put(e, len(opts.Sizes) > 0)
+		data.set(e, len(opts.Sizes) > 0)
 		measured = append(measured, e)
 	} else {
 		measured = data.experiments()
@@ -86,10 +86,12 @@
 			return err
 		}
 	}
-	return verdict(measured)
+	return failureError(measured)
 }
 
-// load reads the data that is redrawn, or that a part of is measured again.
+// load reads the data file named by --from, or else the one in the output
+// directory, of which the part that is not measured is kept. The latter needn't
+// exist.
 func load(opts *options) (data *Data, err error) {
 	data = &Data{}
 	if opts.From != "" {
@@ -107,8 +109,8 @@
 
 func dataPath(opts *options) string { return filepath.Join(opts.Out, "data", "matrix.json") }
 
-// verdict returns an error if a run of the experiments broke a promise.
-func verdict(experiments []*Experiment) error {
+// failureError returns an error if any run of the experiments has faults.
+func failureError(experiments []*Experiment) error {
 	failed, all := 0, 0
 	for _, e := range experiments {
 		for i := range e.Runs {
--- a/cmd/bronzematrix/matrix_test.go
+++ b/cmd/bronzematrix/matrix_test.go
@@ -13,9 +13,9 @@
 	"bronzeusher.example/bronzeusher/bronzetest"
 )
 
-// fixed returns a run that kept its promises, one that broke one and one that
-// couldn't be made.
-func fixed() *Experiment {
+// testExperiment returns an experiment of a run that kept its promises, one that
+// broke a promise and one that failed.
+func testExperiment() *Experiment {
 	kill := bronzetest.Result{
 		Deployment: "riga", Disturb: bronzetest.Kill, Seed: 1, Balancers: 7,
 		Flows: 2000, Requests: 9000, BrokenFlows: 3, HashAloneBroken: 141,
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestTablesShowEveryRunAndItsFaults(t *testing.T) {
+func TestTables(t *testing.T) {
 	require.Equal(t, []string{
 		"| deployment | disturbance | seed | balancers | BrokenFlows | HashAloneBroken | RelayedShare | control B/s | flow-message B/s | broken promises |",
 		"| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |",
@@ -44,26 +44,26 @@
 		"| riga | drain | 1 | 7 | 8 | 0 | 0.0% | 0 | 0 | **BrokenFlows is 8** |",
 		"| klang | none | 1 | 7 | - | - | - | - | - | **run demo: no socket** |",
 		"",
-	}, strings.Split(newTable(sizeColumns, fixed().Runs).Markdown(), "\n"))
-	costs := newTable(costColumns, fixed().Runs).Markdown()
+	}, strings.Split(newTable(sizeColumns, testExperiment().Runs).Markdown(), "\n"))
+	costs := newTable(costColumns, testExperiment().Runs).Markdown()
 	require.Contains(t, costs, "| a 1.021 (1.200), b 1.050 (1.100) | 12.5% | 1900 | 0 | 4/2100 |")
-	require.ErrorContains(t, verdict([]*Experiment{fixed()}), "2 of 3 runs")
-	require.NoError(t, verdict([]*Experiment{{Runs: fixed().Runs[:1]}}))
+	require.ErrorContains(t, failureError([]*Experiment{testExperiment()}), "2 of 3 runs")
+	require.NoError(t, failureError([]*Experiment{{Runs: testExperiment().Runs[:1]}}))
 }
 
-// What a run wrote and what is written from its data file are the same, and
-// only the section of the page changes.
-func TestPageFromTheDataFileIsThePage(t *testing.T) {
+// Writing from the data file gives the same page as the run did, and only the
+// section of the page changes.
+func TestWriteAllFromDataFile(t *testing.T) {
 	opts := &options{Out: t.TempDir()}
 	name := filepath.Join(opts.Out, "MEASUREMENTS.md")
 	page := "before\n" + section.Begin + "\nold\n" + section.End + "\nafter\n"
 	require.NoError(t, os.WriteFile(name, []byte(page), 0o600))
-	data := &Data{Matrix: fixed(), Sizes: fixed()}
+	data := &Data{Matrix: testExperiment(), Sizes: testExperiment()}
 	require.NoError(t, writeAll(opts, data))
 	first, err := os.ReadFile(name)
 	require.NoError(t, err)
 	require.Regexp(t, `(?s)^before\n<!-- bronzematrix:begin -->\n## The demo.*<!-- bronzematrix:end -->\nafter\n$`, string(first))
-	require.Contains(t, string(first), newTable(promiseColumns, fixed().Runs).Markdown())
+	require.Contains(t, string(first), newTable(promiseColumns, testExperiment().Runs).Markdown())
 	svg, err := os.ReadFile(filepath.Join(opts.Out, "broken.svg"))
 	require.NoError(t, err)
 	require.Contains(t, string(svg), "hash alone")
@@ -77,22 +77,22 @@
 	require.Equal(t, string(first), string(second))
 }
 
-// Another part that is measured later keeps the first, and its verdict.
-func TestDataKeepsTheOtherPart(t *testing.T) {
+// Measuring one part keeps the other part of the data file with its faults.
+func TestDataPartialMeasurement(t *testing.T) {
 	opts := &options{Out: t.TempDir()}
 	data, err := load(opts)
 	require.NoError(t, err)
 	require.Empty(t, data.experiments())
-	data.put(fixed(), false)
+	data.set(testExperiment(), false)
 	require.NoError(t, bronzereport.SaveJSON(dataPath(opts), data))
 	data, err = load(opts)
 	require.NoError(t, err)
-	data.put(&Experiment{}, true)
-	require.Equal(t, fixed().Runs[1].Faults, data.Matrix.Runs[1].Faults)
+	data.set(&Experiment{}, true)
+	require.Equal(t, testExperiment().Runs[1].Faults, data.Matrix.Runs[1].Faults)
 	require.Len(t, data.experiments(), 2)
 }
 
-func TestSizesReplaceTheDisturbances(t *testing.T) {
+func TestDemosSizes(t *testing.T) {
 	opts := &options{Deployments: []string{"riga"}, Balancers: 7, Sizes: []int{3, 16}, Seeds: 2, Duration: time.Second}
 	all := demos(opts)
 	require.Len(t, all, len(sizeDisturbances)*2*2)
--- a/cmd/bronzematrix/page.go
+++ b/cmd/bronzematrix/page.go
@@ -12,7 +12,7 @@
 	"bronzeusher.example/bronzeusher/bronzereport"
 )
 
-// section is where the page keeps what the command writes.
+// section is the part of MEASUREMENTS.md that the command rewrites.
 var section = bronzereport.Section{
 	Begin: "<!-- bronzematrix:begin -->",
 	End:   "<!-- bronzematrix:end -->",
@@ -23,12 +23,12 @@
 
 var sectionTemplate = template.Must(template.New("section").Parse(sectionText))
 
-// page is what the template of the section is filled in with.
+// page is the data of the section's template.
 type page struct {
 	Matrix, Sizes *Experiment
 }
 
-// PromiseTable returns the table of what must hold.
+// PromiseTable returns the table of the counts that the promises limit.
 func (p *page) PromiseTable() string { return newTable(promiseColumns, p.Matrix.Runs).Markdown() }
 
 // CostTable returns the table of balance and traffic.
--- a/cmd/bronzematrix/plot.go
+++ b/cmd/bronzematrix/plot.go
@@ -22,20 +22,20 @@
 	panelHeight = 8 * vg.Centimeter
 	panelGap    = 6 * vg.Millimeter
 	barWidth    = 7 * vg.Millimeter
-	// headRoom is the part of the highest bar that is added above it, for
-	// the legend and the numbers.
-	headRoom = 0.4
+	// headroom is the space above the highest bar for the legend and the
+	// numbers, as a fraction of the bar's height.
+	headroom = 0.4
 )
 
-// bars are the bars of one kind, one for each disturbance.
+// bars is a series of bars, one for each disturbance.
 type bars struct {
 	name  string
 	value func(*Run) float64
-	// offset is in widths of a bar from the middle of the group.
+	// offset is the distance from the middle of the group in bar widths.
 	offset float64
 }
 
-var kinds = []bars{
+var barKinds = []bars{
 	{"this design", func(r *Run) float64 { return float64(r.BrokenFlows) }, -0.5},
 	{"hash alone", func(r *Run) float64 { return float64(r.HashAloneBroken) }, 0.5},
 }
@@ -47,18 +47,18 @@
 			err = errors.Wrap(err, "plot")
 		}
 	}()
-	made := slices.DeleteFunc(slices.Clone(runs), func(r Run) bool { return r.Failed })
+	completed := slices.DeleteFunc(slices.Clone(runs), func(r Run) bool { return r.Failed })
 	var rows [][]*plot.Plot
-	for _, deployment := range distinct(made, func(r *Run) string { return r.Deployment }) {
-		own := slices.DeleteFunc(slices.Clone(made), func(r Run) bool { return r.Deployment != deployment })
-		p, err := panel(deployment, own)
+	for _, deployment := range distinct(completed, func(r *Run) string { return r.Deployment }) {
+		selected := slices.DeleteFunc(slices.Clone(completed), func(r Run) bool { return r.Deployment != deployment })
+		p, err := panel(deployment, selected)
 		if err != nil {
 			return err
 		}
 		rows = append(rows, []*plot.Plot{p})
 	}
 	if len(rows) == 0 {
-		return errors.New("no run could be made")
+		return errors.New("no run completed")
 	}
 	canvas := vgsvg.New(panelWidth, vg.Length(len(rows))*panelHeight)
 	tiles := draw.Tiles{Rows: len(rows), Cols: 1, PadY: panelGap, PadRight: panelGap, PadTop: panelGap}
@@ -68,7 +68,7 @@
 	return bronzereport.Save(name, canvas)
 }
 
-// distinct returns the different values of the runs in their order.
+// distinct returns the distinct values of the runs in order of appearance.
 func distinct(runs []Run, value func(*Run) string) (values []string) {
 	for i := range runs {
 		if v := value(&runs[i]); !slices.Contains(values, v) {
@@ -88,14 +88,14 @@
 	p.Legend.Left = true
 	disturbances := distinct(runs, func(r *Run) string { return r.Disturb })
 	p.NominalX(disturbances...)
-	for i, kind := range kinds {
+	for i, kind := range barKinds {
 		values := kind.means(runs, disturbances)
 		if err = addBars(p, kind, values, i); err != nil {
 			return nil, err
 		}
 	}
 	p.Y.Min = 0
-	p.Y.Max = max(p.Y.Max, 1) * (1 + headRoom)
+	p.Y.Max = max(p.Y.Max, 1) * (1 + headroom)
 	return p, nil
 }
 
@@ -115,8 +115,8 @@
 	return values
 }
 
-// addBars adds bars with their numbers above, without which a bar of zero
-// would look like one that was not measured.
+// addBars adds a series of bars with their values above them, so that a zero
+// can be told from a missing measurement.
 func addBars(p *plot.Plot, kind bars, values plotter.Values, index int) error {
 	chart, err := plotter.NewBarChart(values, barWidth)
 	if err != nil {
--- a/cmd/bronzematrix/tables.go
+++ b/cmd/bronzematrix/tables.go
@@ -10,20 +10,20 @@
 	"bronzeusher.example/bronzeusher/bronzereport"
 )
 
-// noFaults is in the row of a run that kept all promises.
+// noFaults is the cell of a run that kept all promises.
 const noFaults = "none"
 
 // column is a column of a table.
 type column struct {
 	head string
 	cell func(*Run) string
-	// given tells that the case has it, also where the run couldn't be made.
-	given bool
+	// fromCase marks a column that is known even if the run failed.
+	fromCase bool
 }
 
 func integer[T int | int64](n T) string { return strconv.FormatInt(int64(n), 10) }
 
-// caseColumns tell which run it is.
+// caseColumns identify the run.
 var caseColumns = []column{
 	{"deployment", func(r *Run) string { return r.Deployment }, true},
 	{"disturbance", func(r *Run) string { return r.Disturb }, true},
@@ -74,7 +74,8 @@
 
 var sizeColumns = slices.Concat(caseColumns, []column{sizeColumn}, brokenColumns, trafficColumns)
 
-// imbalances returns each service's imbalance beside that of hash alone.
+// imbalances returns each service's imbalance with that of hash alone in
+// parentheses.
 func (r *Run) imbalances() string {
 	var list []string
 	for _, name := range slices.Sorted(maps.Keys(r.Imbalance)) {
@@ -83,8 +84,8 @@
 	return strings.Join(list, ", ")
 }
 
-// newTable returns a table with a row for each run. The counts of a run that
-// couldn't be made are left out.
+// newTable returns a table with a row for each run. A failed run has dashes in
+// place of its counts.
 func newTable(columns []column, runs []Run) *bronzereport.Table {
 	t := &bronzereport.Table{}
 	for _, c := range columns {
@@ -99,7 +100,7 @@
 
 func newRow(columns []column, r *Run) (cells []string) {
 	for _, c := range columns {
-		if r.Failed && !c.given {
+		if r.Failed && !c.fromCase {
 			cells = append(cells, "-")
 			continue
 		}
@@ -108,7 +109,7 @@
 	return append(cells, r.faults())
 }
 
-// faults names what the run broke, in bold.
+// faults returns the run's faults in bold, or noFaults.
 func (r *Run) faults() string {
 	if len(r.Faults) == 0 {
 		return noFaults
