--- a/bronzetest/balancer.go
+++ b/bronzetest/balancer.go
@@ -152,8 +152,9 @@
 	return a != "" && b != "" && !r.fabric.Reachable(a, b)
 }
 
-// unreachableFrom reports whether a partition cuts zone off from the platform,
-// which is in the first zone, or from a server's report.
+// unreachableFrom returns a function that reports whether a partition separates
+// zone from the server of a request: the platform, which is in the first zone,
+// or a BackendServer's report.
 func (r *run) unreachableFrom(zone string) func(*http.Request) bool {
 	return func(req *http.Request) bool {
 		serverZone := r.deployment.Zones[0]
--- a/bronzetest/fabric.go
+++ b/bronzetest/fabric.go
@@ -34,8 +34,8 @@
 	socketBufferBytes = 4 << 20
 )
 
-// Fabric sends every packet to a randomly chosen balancer, and hands the
-// balancers' replies to the callers.
+// Fabric sends every packet to a randomly chosen balancer that is ready and
+// reachable, and hands the balancers' replies to the callers.
 type Fabric struct {
 	// Ledger counts the packets.
 	Ledger *Ledger
