--- a/bronzefleet/fleet.go
+++ b/bronzefleet/fleet.go
@@ -159,7 +159,7 @@
 // it then tells the peers that this node has left. Its errors are ErrNameTaken
 // and ErrReplaced.
 func (f *Fleet) Run(ctx context.Context) (err error) {
-	defer annotate(&err, "maintaining the membership of "+f.Self.Name)
+	defer annotate(&err, "keeping the membership of "+f.Self.Name)
 	f.do(func(time.Time) {})
 	ticker := time.NewTicker(orDefault(f.Interval, DefaultInterval) / ticksPerInterval)
 	defer ticker.Stop()
