--- a/cmd/bronzecost/tables.go
+++ b/cmd/bronzecost/tables.go
@@ -75,7 +75,7 @@
 	t.add("owner", "openings, processor (packets, not control)", fmt.Sprintf("%s/s × %s", number(nodeOpens), duration(opening)),
 		percent(nodeOpens*opening/1e9), "`bronzecore.Balancer.FromCaller`, `bronzepool.Pool.Choose`")
 	t.add("owner", "pairs of node and host", "490 × 5,100", number(targetNodes*targetHosts), "over `bronzepool.MaxSharedPairs`: no counts are shared")
-	t.add("owner", "exceptions for load", "-", "none", "`bronzepool.Pool.SetShared`, `Pool.Choose`")
+	t.add("owner", "exceptions for load", "-", "none", "`bronzepool.Pool.SetCountsShared`, `Pool.Choose`")
 	t.add("owner", "exceptions by new hosts, at most", fmt.Sprintf("%s changes/s × %s / 320 / %s", number(changes), number(nodeFlows), number(poolHosts+1)),
 		number(newExceptions)+" a second", "`bronzecore.Balancer.Tick`, the sweep after a change")
 	t.add("owner", "copies and their ends", fmt.Sprintf("2 × %s/s", number(newExceptions)), number(m.copyRate())+" a second", "`bronzecore` copier")
@@ -93,19 +93,19 @@
 		t.add("relaying balancer", "flows of others remembered, "+label,
 			fmt.Sprintf("min(4.7 million × %s, capacity)", percent(knownShare(p))), number(m.learned(p)), "`bronzecore` putLearned, evicted first")
 	}
-	t.add("relaying balancer", "Learn messages", "paced", "512 B/s at most", "`bronzecore` teach")
+	t.add("relaying balancer", "Learn messages", "paced", "512 B/s at most", "`bronzecore` sendLearn")
 }
 
 func (m *model) successorRows(t *table) {
 	t.add("successor", "copies held", fmt.Sprintf("%s/s × %s s", number(newExceptions), number(meanLife)), number(heldExceptions), "`bronzecore` copyStore")
 	t.add("successor", "memory of copies", fmt.Sprintf("%s × %s B", number(heldExceptions), number(m.slope(costCopyHeap))), kilobytes(m.copyMemory()), "`bronzecore` copyStore")
 	t.add("owner and successor", "copies and acknowledgements sent", fmt.Sprintf("%s/s × %s B", number(m.copyRate()), number(m.at(costCopyBytes, 1))),
-		kilobytes(m.copyBytes())+" a second", "`bronzecore` sendCopies, copied")
+		kilobytes(m.copyBytes())+" a second", "`bronzecore` sendCopies, handleCopies")
 }
 
 func (m *model) pollerRows(t *table) {
-	t.add("poller", "hosts to ask", "2 × 5,100 / 490", number(duePolls), "`bronzenode` ranks")
-	t.add("poller", "polls", fmt.Sprintf("min(%s, %d)", number(duePolls), pollsPerSecond), number(nodePolls)+" a second", "`bronzenode` reports, pollsPerInterval")
+	t.add("poller", "hosts to ask", "2 × 5,100 / 490", number(duePolls), "`bronzenode` isSelected")
+	t.add("poller", "polls", fmt.Sprintf("min(%s, %d)", number(duePolls), pollsPerSecond), number(nodePolls)+" a second", "`bronzenode` reportPoller, pollsPerInterval")
 	t.add("poller", "a round of polls", fmt.Sprintf("%s / %s a second", number(duePolls), number(nodePolls)), seconds(duePolls/nodePolls), "each host is asked by two nodes")
 	t.add("poller", "news that a server is leaving", "measured at 490", seconds(m.at(costLeavingSeconds, targetNodes)/1e3)+" to all", "`bronzefleet.Fleet.Share`, the first ring")
 	t.add("poller", "bytes of polls, both ways", fmt.Sprintf("%s/s × %s B", number(nodePolls), number(m.slope(costPollBytes))),
@@ -123,7 +123,7 @@
 	t.add("member", "sweep of the table after a change", fmt.Sprintf("%s + %s", duration(m.at(costSweep, nodeFlows)), duration(m.at(costSweepLearned, m.learned(manyPackets)))),
 		percent(m.sweepCore(manyPackets)), "`bronzecore.Balancer.Tick`, three of 256 shards every 10 ms")
 	t.add("member", "views held", fmt.Sprintf("2 × %s", megabytes(m.at(costViewHeap, targetNodes))), megabytes(m.viewMemory()), "`bronzefleet.View`")
-	t.add("member", "Loads of the other nodes held", "measured at 490", megabytes(m.at(costEmptyLoadsHeap, targetNodes)), "`bronzefleet` loads")
+	t.add("member", "Loads of the other nodes held", "measured at 490", megabytes(m.at(costEmptyLoadsHeap, targetNodes)), "`bronzefleet` loadSpreader")
 }
 
 func (m *model) readerRows(t *table) {
