--- a/cmd/bronzecost/change_test.go
+++ b/cmd/bronzecost/change_test.go
@@ -19,37 +19,39 @@
 )
 
 const (
-	// nearDelay and farDelay are one way, inside a region and between two.
-	nearDelay = time.Millisecond
-	farDelay  = 40 * time.Millisecond
-	// changeWithin bounds the time of a change to all nodes.
-	changeWithin = 6 * time.Second
-	// leaveWithin bounds the time of a server's leaving to all nodes of the
-	// fleets that the test has by itself. What larger ones take is measured.
-	leaveWithin = 3 * time.Second
-	leaveMost   = time.Minute
-	// What is sent for steadyTime is counted when nothing has happened for
-	// settling.
-	settling   = 20 * time.Second
+	// sameRegionDelay and crossRegionDelay are one-way delays of messages.
+	sameRegionDelay  = time.Millisecond
+	crossRegionDelay = 40 * time.Millisecond
+	// maxChangeTime bounds the time until all nodes have a configuration change.
+	maxChangeTime = 6 * time.Second
+	// maxLeaveTime bounds the time until all nodes know that a server is
+	// leaving, for the default fleet sizes. For other sizes the time is only
+	// measured, up to leaveTimeout.
+	maxLeaveTime = 3 * time.Second
+	leaveTimeout = time.Minute
+	// The bytes sent during steadyTime are counted after settleTime without
+	// any events.
+	settleTime = 20 * time.Second
 	steadyTime = 20 * time.Second
-	// maxSteady bounds the bytes a second, half of the budget.
-	maxSteady = budgetBytes / 2
-	// maxRequests bounds the requests for records that a change costs a node
-	// on average: one for each neighbour that has the change sooner.
+	// maxSteadyBytes bounds the bytes that a node sends per second: half of the
+	// budget.
+	maxSteadyBytes = budgetBytes / 2
+	// maxRequests bounds the mean number of requests for records that a node
+	// sends for a change: one for each neighbour that has the change earlier.
 	maxRequests = 8
 )
 
-// mesh joins nodes by in-memory links.
+// mesh connects nodes by in-memory links.
 type mesh struct {
 	t       *testing.T
 	nodes   map[string]*meshNode // by control address
-	names   map[string]*meshNode
+	names   map[string]*meshNode // by name
 	running sync.WaitGroup
 	mu      sync.Mutex
 	tally   tally
 }
 
-// meshNode is a Fleet with a Store that are joined as in a node.
+// meshNode is a Fleet and a Store, connected as in a node.
 type meshNode struct {
 	*mesh
 	self  bronzelink.Member
@@ -64,10 +66,10 @@
 		n.fleet = &bronzefleet.Fleet{
 			Self:             self,
 			Send:             n.send,
-			OnBehind:         n.askForRecords,
+			OnBehind:         n.requestRecords,
 			OnRecordsRequest: n.answerRecords,
-			OnRecords:        n.takeRecords,
-			OnLoad:           n.takeLoad,
+			OnRecords:        n.applyRecords,
+			OnLoad:           n.handleLoad,
 		}
 		n.fleet.Share(bronzelink.Load{})
 		n.fleet.SetRevision(1)
@@ -108,9 +110,9 @@
 		return err
 	}
 	n.count(func(t *tally) { t.sent += float64(len(b) + linkBytes) })
-	delay := nearDelay
+	delay := sameRegionDelay
 	if target.self.Region != n.self.Region {
-		delay = farDelay
+		delay = crossRegionDelay
 	}
 	n.running.Add(1)
 	time.AfterFunc(delay, func() {
@@ -125,7 +127,7 @@
 	return nil
 }
 
-func (n *meshNode) askForRecords(peer bronzelink.Member) {
+func (n *meshNode) requestRecords(peer bronzelink.Member) {
 	n.count(func(t *tally) { t.requests++ })
 	_ = n.send(peer, recordsRequest(n.store.Have()))
 }
@@ -138,7 +140,7 @@
 	_ = n.send(bronzelink.Member{Name: from}, recordsAnswer(n.store, have))
 }
 
-func (n *meshNode) takeRecords(_ string, r *bronzelink.Records) {
+func (n *meshNode) applyRecords(_ string, r *bronzelink.Records) {
 	var present []bronzeconf.RecordVersion
 	for _, v := range r.Present {
 		present = append(present, bronzeconf.RecordVersion{Name: v.Name, Revision: v.Revision})
@@ -147,18 +149,18 @@
 	for _, b := range r.Bodies {
 		bodies = append(bodies, bronzeconf.StoredRecord{Name: b.Name, Revision: b.Revision, Body: b.Body})
 	}
-	// An older answer than the one in force is refused, as it has to be.
+	// Apply refuses an answer that is older than the revision in force.
 	_, _ = n.store.Apply(r.Revision, present, bodies)
 }
 
-func (n *meshNode) takeLoad(l *bronzelink.Load) {
+func (n *meshNode) handleLoad(l *bronzelink.Load) {
 	if len(l.Leaving) > 0 {
-		n.count(func(t *tally) { t.told++ })
+		n.count(func(t *tally) { t.notified++ })
 	}
 }
 
-// await waits until all nodes know all, and the news of that has settled.
-func (m *mesh) await() {
+// awaitFormed waits until all nodes are ready and know all members.
+func (m *mesh) awaitFormed() {
 	for range 60 {
 		time.Sleep(time.Second)
 		synctest.Wait()
@@ -172,12 +174,13 @@
 			return
 		}
 	}
-	m.t.Error("the fleet has not formed in a minute")
+	m.t.Error("the nodes don't know all members after a minute")
 }
 
-// change publishes revision 2 to one node and returns how long it takes until
-// all have it in force.
-func (m *mesh) change() time.Duration {
+// spreadChange applies revision 2 at one node and returns how long it takes until
+// all nodes have it in force, or a little more than maxChangeTime if some don't
+// by then.
+func (m *mesh) spreadChange() time.Duration {
 	list := deployments[0].records(1)
 	list[0].Revision = 2
 	begun := time.Now()
@@ -186,64 +189,65 @@
 		require.NoError(m.t, err)
 		break
 	}
-	for m.behind() {
-		if time.Since(begun) > changeWithin {
+	for m.anyBehind() {
+		if time.Since(begun) > maxChangeTime {
 			break
 		}
-		time.Sleep(nearDelay)
+		time.Sleep(sameRegionDelay)
 		synctest.Wait()
 	}
 	return time.Since(begun)
 }
 
-// tally is what a mesh counts.
+// tally holds the counts of a mesh.
 type tally struct {
-	requests int     // for records
+	requests int     // requests for records
 	sent     float64 // bytes on control links
-	told     int     // nodes that know of a server that leaves
+	notified int     // Loads with leaving servers received
 }
 
-// count changes the counts.
+// count updates the counts with change.
 func (m *mesh) count(change func(*tally)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	change(&m.tally)
 }
 
-// counted returns the counts since the last call, and begins anew.
-func (m *mesh) counted() (t tally) {
+// takeCounts returns the counts since the last call and resets them.
+func (m *mesh) takeCounts() (t tally) {
 	m.count(func(now *tally) { t, *now = *now, tally{} })
 	return t
 }
 
-// steady returns the bytes that a node sends in a second while nothing
-// happens.
-func (m *mesh) steady() float64 {
-	time.Sleep(settling)
+// steadyBytes returns the mean bytes per second that a node sends without any
+// events.
+func (m *mesh) steadyBytes() float64 {
+	time.Sleep(settleTime)
 	synctest.Wait()
-	m.counted()
+	m.takeCounts()
 	time.Sleep(steadyTime)
 	synctest.Wait()
-	return m.counted().sent / steadyTime.Seconds() / float64(len(m.nodes))
+	return m.takeCounts().sent / steadyTime.Seconds() / float64(len(m.nodes))
 }
 
-// leave lets one node know that a server is leaving, and returns how long it
-// takes until all others do.
-func (m *mesh) leave() time.Duration {
+// spreadLeaving shares at one node that a server is leaving, and returns how long
+// it takes until all other nodes know, at most about leaveTimeout.
+func (m *mesh) spreadLeaving() time.Duration {
 	begun := time.Now()
 	for _, n := range m.nodes {
 		n.fleet.Share(leavingLoad(1))
 		break
 	}
-	for told := 0; told < len(m.nodes)-1 && time.Since(begun) < leaveMost; {
-		time.Sleep(nearDelay)
+	for told := 0; told < len(m.nodes)-1 && time.Since(begun) < leaveTimeout; {
+		time.Sleep(sameRegionDelay)
 		synctest.Wait()
-		told += m.counted().told
+		told += m.takeCounts().notified
 	}
 	return time.Since(begun)
 }
 
-func (m *mesh) behind() bool {
+// anyBehind reports whether any node has a revision below 2.
+func (m *mesh) anyBehind() bool {
 	for _, n := range m.nodes {
 		if n.store.Revision() < 2 {
 			return true
@@ -252,8 +256,9 @@
 	return false
 }
 
-// changeSizes returns the sizes of the fleets, and whether they were set.
-func changeSizes(t *testing.T) (sizes []int, set bool) {
+// fleetSizes returns the sizes of the fleets, and whether they are set by
+// nodesVariable.
+func fleetSizes(t *testing.T) (sizes []int, set bool) {
 	list, set := os.LookupEnv(nodesVariable)
 	if !set {
 		list = "7,20"
@@ -266,13 +271,13 @@
 	return sizes, set
 }
 
-// TestChangeReachesAll publishes a change to one node, as if it were the only
-// one that reads the platform. It tells its neighbours its revision at once,
-// each that is behind asks it for the records, and goes on likewise. Then one
-// node learns from a server's endpoint that it is leaving. In between nothing
-// happens, and the nodes share no counts.
+// TestChangeReachesAll applies a configuration change at one node, as if only
+// that node read the platform. Each node sends its new revision to its
+// neighbours, and those that are behind request the records from it. After a
+// period without events, one node shares that a server is leaving. The nodes
+// share no counts.
 func TestChangeReachesAll(t *testing.T) {
-	sizes, set := changeSizes(t)
+	sizes, set := fleetSizes(t)
 	for _, size := range sizes {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
@@ -280,19 +285,19 @@
 			defer m.running.Wait()
 			defer cancel()
 			m.start(ctx)
-			m.await()
-			m.counted()
-			took := m.change()
-			requests := float64(m.counted().requests) / float64(size)
-			require.LessOrEqual(t, took, changeWithin)
-			require.False(t, m.behind())
+			m.awaitFormed()
+			m.takeCounts()
+			took := m.spreadChange()
+			requests := float64(m.takeCounts().requests) / float64(size)
+			require.LessOrEqual(t, took, maxChangeTime)
+			require.False(t, m.anyBehind())
 			require.LessOrEqual(t, requests, float64(maxRequests))
-			steady := m.steady()
-			require.LessOrEqual(t, steady, float64(maxSteady))
-			left := m.leave()
-			require.Less(t, left, leaveMost)
+			steady := m.steadyBytes()
+			require.LessOrEqual(t, steady, float64(maxSteadyBytes))
+			left := m.spreadLeaving()
+			require.Less(t, left, leaveTimeout)
 			if !set {
-				require.LessOrEqual(t, left, leaveWithin)
+				require.LessOrEqual(t, left, maxLeaveTime)
 			} else {
 				fmt.Printf("\nChange/nodes=%d 1 %d ms %.3f requests/node %.1f B/s-unshared %d ms-leaving\n",
 					size, took.Milliseconds(), requests, steady, left.Milliseconds())
--- a/cmd/bronzecost/cost.go
+++ b/cmd/bronzecost/cost.go
@@ -6,68 +6,69 @@
 	"strings"
 )
 
-// Cost says how one cost is measured.
+// Cost describes how one cost is measured.
 type Cost struct {
-	// Name is unique; What says in words what one value is the cost of.
+	// Name is unique. What describes the measured operation or quantity.
 	Name string
 	What string
-	// Package holds the benchmark or test, Bench is the benchmark's name up
-	// to the size, and Unit the unit of its value.
+	// Package contains the benchmark or test, Bench is the name of the
+	// benchmark up to the size, and Unit is the unit of the value.
 	Package string
 	Bench   string
 	Unit    string
-	// Size names what the cost grows with.
+	// Size names the quantity that the cost grows with.
 	Size string
-	// Test is the test that counts it, for a cost that is no benchmark.
+	// Test is the test that prints the values of a cost that isn't measured by
+	// a benchmark.
 	Test string
 }
 
-// The names of the costs that the page uses.
+// Names of the costs that the tables use.
 const (
-	costFlowHeap       = "FlowHeap"
-	costOpening        = "Opening"
-	costRelay          = "Relay"
-	costRecoveryBytes  = "RecoveryBytes"
-	costSnapshot       = "SetSnapshot"
-	costSweep          = "Sweep"
-	costSecond         = "MemberSecond"
-	costReplace        = "MemberReplace"
-	costChangeSeconds  = "ChangeToAll"
-	costChangeAsks     = "ChangeExchanges"
-	costApply          = "ConfigChange"
-	costStart          = "ConfigStart"
-	costDiff           = "ConfigDiff"
-	costRequestBytes   = "RecordsRequestBytes"
-	costRecordsBytes   = "RecordsBytes"
-	costAllBytes       = "AllRecordsBytes"
-	costLoadBytes      = "LoadBytes"
-	costOwnersHeap     = "OwnersHeap"
-	costLoadsHeap      = "LoadsHeap"
-	costPoll           = "Poll"
-	costPollBytes      = "PollBytes"
-	costScore          = "RankScores"
-	costCopyHeap       = "CopyHeap"
-	costCopyBytes      = "CopyBytes"
-	costViewHeap       = "ViewHeap"
-	costConfigHeap     = "ConfigHeap"
-	costHashBusiest    = "BusiestHashAlone"
-	costMembersBytes   = "MembersBytes"
-	costSweepLearned   = "SweepLearned"
-	costBusiestBySize  = "BusiestBySize"
-	costUnsharedBytes  = "MemberBytesUnshared"
-	costLeavingSeconds = "LeavingToAll"
-	costLeavingBytes   = "LeavingBytes"
-	costEmptyLoadsHeap = "EmptyLoadsHeap"
+	costFlowHeap            = "FlowHeap"
+	costOpening             = "Opening"
+	costRelay               = "Relay"
+	costRecoveryBytes       = "RecoveryBytes"
+	costSetSnapshot         = "SetSnapshot"
+	costSweep               = "Sweep"
+	costMemberSecond        = "MemberSecond"
+	costMemberReplace       = "MemberReplace"
+	costChangeToAll         = "ChangeToAll"
+	costChangeExchanges     = "ChangeExchanges"
+	costConfigChange        = "ConfigChange"
+	costConfigStart         = "ConfigStart"
+	costConfigDiff          = "ConfigDiff"
+	costRecordsRequestBytes = "RecordsRequestBytes"
+	costRecordsBytes        = "RecordsBytes"
+	costAllRecordsBytes     = "AllRecordsBytes"
+	costLoadBytes           = "LoadBytes"
+	costOwnersHeap          = "OwnersHeap"
+	costLoadsHeap           = "LoadsHeap"
+	costPoll                = "Poll"
+	costPollBytes           = "PollBytes"
+	costRankScores          = "RankScores"
+	costCopyHeap            = "CopyHeap"
+	costCopyBytes           = "CopyBytes"
+	costViewHeap            = "ViewHeap"
+	costConfigHeap          = "ConfigHeap"
+	costBusiestHashAlone    = "BusiestHashAlone"
+	costMembersBytes        = "MembersBytes"
+	costSweepLearned        = "SweepLearned"
+	costBusiestBySize       = "BusiestBySize"
+	costMemberBytesUnshared = "MemberBytesUnshared"
+	costLeavingToAll        = "LeavingToAll"
+	costLeavingBytes        = "LeavingBytes"
+	costEmptyLoadsHeap      = "EmptyLoadsHeap"
 )
 
 //go:embed costs.json
-var costsFile []byte
+var costsJSON []byte
 
-// costs are all that is measured.
-var costs = parseCosts(costsFile)
+// costs lists all costs that can be measured.
+var costs = parseCosts(costsJSON)
 
-// parseCosts reads the list of costs. It is a part of the program, which
-// can't run without.
+// parseCosts decodes the embedded list of costs. It panics if the list is
+// invalid.
 func parseCosts(file []byte) (list []Cost) {
 	if err := json.Unmarshal(file, &list); err != nil {
 		panic(err)
--- a/cmd/bronzecost/deployment_test.go
+++ b/cmd/bronzecost/deployment_test.go
@@ -20,21 +20,21 @@
 // self is the node whose costs are measured.
 const self = "riga-a-0"
 
-// deployments are the sizes of the configuration, from that of one Customer
-// today up to the target.
+// deployments are sizes of the configuration, from that of a single Customer up
+// to the target.
 var deployments = []deployment{{4, 18}, {20, 320}, {100, 1600}, {320, 5100}}
 
-// sharing are sizes at which a node shares its counts.
-var sharing = []deployment{{4, 18}, {20, 320}, {100, 1600}, {300, 4900}}
+// sharingDeployments are the sizes at which shared counts are measured.
+var sharingDeployments = []deployment{{4, 18}, {20, 320}, {100, 1600}, {300, 4900}}
 
-// largest is the deployment of the target.
-var largest = deployments[len(deployments)-1]
+// targetDeployment is the target size.
+var targetDeployment = deployments[len(deployments)-1]
 
-// fleets are the numbers of nodes.
+// fleets are the measured fleet sizes.
 var fleets = []int{7, 40, 82, targetNodes}
 
-// deployment has hosts that are divided evenly among services, each of which
-// has one address.
+// deployment is a configuration whose hosts are divided evenly among the
+// services. Each service has one address.
 type deployment struct{ services, hosts int }
 
 // serviceAddress returns the address of service i.
@@ -47,7 +47,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(j >> 8), byte(j)}), 6080)
 }
 
-// records returns the published records of d at a revision.
+// records returns the records of d, all at the given revision.
 func (d deployment) records(revision uint64) (list []bronzeconf.StoredRecord) {
 	for i := range d.services {
 		v := bronzeconf.NewServiceV2()
@@ -55,7 +55,7 @@
 		v.Brand = "Brand"
 		v.Name = fmt.Sprintf("service-%03d", i)
 		v.Addresses = []netip.Addr{serviceAddress(i)}
-		v.Limits = bronzeconf.LimitsV2{} // none: flows are opened as fast as possible
+		v.Limits = bronzeconf.LimitsV2{} // no limits: flows are opened as fast as possible
 		v.Rules = []bronzeconf.RuleV1{{Protocol: "TCP", Port: 443}}
 		for j := i * d.hosts / d.services; j < (i+1)*d.hosts/d.services; j++ {
 			v.Pool = append(v.Pool, bronzeconf.BackendServerV1{
@@ -76,6 +76,7 @@
 	return list
 }
 
+// versions returns the names and revisions of records.
 func versions(list []bronzeconf.StoredRecord) (present []bronzeconf.RecordVersion) {
 	for _, r := range list {
 		present = append(present, bronzeconf.RecordVersion{Name: r.Name, Revision: r.Revision})
@@ -83,7 +84,7 @@
 	return present
 }
 
-// store returns a Store that has d in force.
+// store returns a Store with d in force.
 func (d deployment) store(t testing.TB) *bronzeconf.Store {
 	s := &bronzeconf.Store{}
 	list := d.records(1)
@@ -94,21 +95,21 @@
 	return s
 }
 
-// balancer returns a Balancer that has d in force, and no view.
+// balancer returns a Balancer with d in force and without a view.
 func (d deployment) balancer(t testing.TB) *bronzecore.Balancer {
 	b := &bronzecore.Balancer{Name: self}
 	b.SetSnapshot(d.store(t).Snapshot())
 	return b
 }
 
-// key returns the key of flow i, which goes to one of the services in turn.
+// key returns the key of flow i. Flows are assigned to the services in turn.
 func (d deployment) key(i int) bronzeflow.Key {
 	caller := netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, byte(i >> 20), byte(i >> 12), byte(i >> 4)}), uint16(1024+i&15))
 	return bronzeflow.NewKey(bronzeflow.TCP, caller, netip.AddrPortFrom(serviceAddress(i%d.services), 443))
 }
 
-// open establishes the flow of key and returns its server.
-func open(t testing.TB, b *bronzecore.Balancer, key bronzeflow.Key) bronzeflow.ServerID {
+// openFlow establishes the flow with the given key and returns its server.
+func openFlow(t testing.TB, b *bronzecore.Balancer, key bronzeflow.Key) bronzeflow.ServerID {
 	out := b.FromCaller(&bronzeflow.Packet{Key: key, Kind: bronzeflow.Open}, nil)
 	require.Equal(t, bronzecore.Forward, out[0].Kind, out[0].Reason)
 	id := out[0].Server
@@ -117,8 +118,8 @@
 	return id
 }
 
-// members returns the members of a fleet, in six zones of two regions. The
-// first is self.
+// members returns n members of a fleet in six zones of two regions. The first
+// is self.
 func members(n int) (list []bronzelink.Member) {
 	for i := range n {
 		region, zone := "riga", i%6
@@ -138,7 +139,8 @@
 	return list
 }
 
-// view returns self's view of a fleet in which nothing has changed of late.
+// view returns the view that self has of a fleet of n members without recent
+// changes.
 func view(n int) *bronzefleet.View {
 	long := time.Now().Add(-time.Hour)
 	v := bronzefleet.NewView(self, members(n), nil, long)
@@ -146,8 +148,9 @@
 	return v
 }
 
-// owned returns n keys whose owner in v is self, or isn't.
-func (d deployment) owned(v *bronzefleet.View, n int, own bool) (keys []bronzeflow.Key) {
+// keysByOwner returns n keys of flows that self owns in v, or, if own is false,
+// that other nodes own.
+func (d deployment) keysByOwner(v *bronzefleet.View, n int, own bool) (keys []bronzeflow.Key) {
 	for i := 0; len(keys) < n; i++ {
 		key := d.key(i)
 		if (v.Owner(key.Hash()) == self) == own {
@@ -157,7 +160,7 @@
 	return keys
 }
 
-// heapOf returns by how much the heap is larger with what build returns.
+// heapOf returns the bytes of heap that the result of build retains.
 func heapOf[T any](build func() T) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -169,7 +172,7 @@
 	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
-// benchHeap reports the heap of what build returns.
+// benchHeap reports the heap that the result of build retains.
 func benchHeap[T any](b *testing.B, name string, build func() T) {
 	b.Run(name, func(b *testing.B) {
 		heap := 0.0
--- a/cmd/bronzecost/doc.go
+++ b/cmd/bronzecost/doc.go
@@ -1,24 +1,26 @@
-// Command bronzecost measures what the balancer costs, and fits to each cost
-// that grows with something a line over at least four sizes. From the lines it
-// works out the tables of docs/CAPACITY.md.
+// Command bronzecost measures the processor time, memory and traffic of the
+// balancer. It measures each cost at four or more sizes, such as numbers of
+// nodes or flows, and fits a line to them. From the values and lines it
+// calculates the tables of docs/CAPACITY.md.
 //
-// The measurements are Go benchmarks, and tests that count on the paused
-// clock. The command runs them by `go test`, so a go tool has to be installed
-// and the working directory has to be in the module. Each timing is the
-// median of several runs on one processor.
+// The measurements are Go benchmarks, and tests that count messages and bytes
+// in a synctest bubble. The command runs them with `go test`, so the go tool
+// must be installed and the working directory must be in the module. Each
+// timing is the median of several runs on one processor.
 //
 // # Usage
 //
 //	go run ./cmd/bronzecost --out docs/data/cost.json --page docs/CAPACITY.md
 //
-// measures everything, which takes three to five minutes on a quiet machine,
+// measures all costs, which takes three to five minutes on an idle machine,
 // prints a table, writes the data file, and rewrites the marked tables of the
 // page.
 //
 //	go run ./cmd/bronzecost --quick
 //	go run ./cmd/bronzecost --name Opening
 //
-// take shorter runs, or only the costs whose name starts with the given one.
+// use shorter runs, or measure only the costs whose names start with the given
+// prefix.
 //
 //	go run ./cmd/bronzecost --from docs/data/cost.json --page docs/CAPACITY.md
 //
--- a/cmd/bronzecost/exception_bench_test.go
+++ b/cmd/bronzecost/exception_bench_test.go
@@ -11,33 +11,31 @@
 )
 
 const (
-	// serviceFlows is how many flows of one service the fleet holds at the
-	// target.
+	// serviceFlows is the number of flows of one service at the target size.
 	serviceFlows = targetFlows / targetServices
-	// sharingRounds are those in which each owner shares its counts once, and
-	// the counts are old after agingRounds more. In a round each flow is
-	// replaced.
+	// Each flow is replaced once in a round. In sharingRounds rounds each owner
+	// shares its counts once, and agingRounds further rounds make them outdated.
 	sharingRounds = 4
 	agingRounds   = 40
 )
 
-// placement is a service whose flows all owners place.
+// placement simulates owners that place the flows of one service.
 type placement struct {
-	service *bronzeconf.Service
-	owners  []bronzepool.Pool
-	flows   [][]bronzeflow.ServerID // by owner
-	total   map[bronzeflow.ServerID]int
-	random  *rand.Rand
-	shares  bool // owners share their counts once
+	service    *bronzeconf.Service
+	owners     []bronzepool.Pool
+	flows      [][]bronzeflow.ServerID     // by owner
+	total      map[bronzeflow.ServerID]int // flows of all owners, by server
+	random     *rand.Rand
+	sharesOnce bool // whether owners share their counts once
 
 	placed, exceptions int
-	measured           int     // rounds
-	imbalance          float64 // their sum
+	measured           int     // number of measured rounds
+	imbalance          float64 // sum over the measured rounds
 }
 
 func newPlacement(b *testing.B, owners, flows int) *placement {
 	p := &placement{
-		service: largest.store(b).Snapshot().Services[0],
+		service: targetDeployment.store(b).Snapshot().Services[0],
 		owners:  make([]bronzepool.Pool, owners),
 		total:   map[bronzeflow.ServerID]int{},
 		random:  rand.New(rand.NewPCG(1, 2)),
@@ -50,8 +48,8 @@
 	return p
 }
 
-// run places all flows, replaces each of them in as many rounds as warm tells,
-// and measures as many rounds more.
+// run places all flows, replaces each of them in warm rounds, and then measures
+// further rounds of replacements.
 func (p *placement) run(warm, measured int) {
 	p.measured = measured
 	for round := range 1 + warm + measured {
@@ -61,7 +59,7 @@
 			}
 		}
 		for i := range p.owners {
-			if p.shares && round > 0 && i%sharingRounds == round-1 {
+			if p.sharesOnce && round > 0 && i%sharingRounds == round-1 {
 				p.share(i)
 			}
 		}
@@ -71,7 +69,7 @@
 	}
 }
 
-// replace ends flow j of owner i, if there is one, and places another.
+// replace ends flow j of owner i, if there is one, and places a new one.
 func (p *placement) replace(i, j int, measured bool) {
 	owner, flow := &p.owners[i], &p.flows[i][j]
 	if *flow != 0 {
@@ -91,7 +89,7 @@
 	}
 }
 
-// share tells the counts of owner i to the others.
+// share passes the counts of owner i to the other owners.
 func (p *placement) share(i int) {
 	counts := map[bronzeflow.ServerID]uint32{}
 	p.owners[i].Owned(counts)
@@ -102,7 +100,7 @@
 	}
 }
 
-// busiest returns the flows of the busiest server over the mean.
+// busiest returns the flows of the busiest server divided by the mean.
 func (p *placement) busiest() float64 {
 	most, sum := 0, 0
 	for _, n := range p.total {
@@ -118,7 +116,7 @@
 	b.ReportMetric(p.imbalance/float64(p.measured), "max/mean")
 }
 
-// benchPlacement runs a placement at each size of the fleet.
+// benchPlacement runs a placement for each fleet size. set configures it.
 func benchPlacement(b *testing.B, set func(*placement)) {
 	for _, n := range fleets {
 		b.Run(fmt.Sprintf("nodes=%d", n), func(b *testing.B) {
@@ -133,32 +131,34 @@
 	}
 }
 
-// BenchmarkUnheard places flows at owners that have heard nothing of what the
-// others have placed.
+// BenchmarkUnheard measures placement by owners that know no counts of other
+// owners.
 func BenchmarkUnheard(b *testing.B) {
 	benchPlacement(b, func(*placement) {})
 }
 
-// BenchmarkHeardOnce places flows at owners that have heard of each other
-// once, several lifetimes of a flow ago.
+// BenchmarkHeardOnce measures placement by owners that shared their counts once,
+// at least agingRounds lifetimes of a flow ago.
 func BenchmarkHeardOnce(b *testing.B) {
-	benchPlacement(b, func(p *placement) { p.shares = true })
+	benchPlacement(b, func(p *placement) { p.sharesOnce = true })
 }
 
-// hashAlone makes the owners place by the hash, as they do at the target.
+// hashAlone makes the owners place flows by the hash alone, as they do at the
+// target size.
 func (p *placement) hashAlone() {
 	for i := range p.owners {
 		p.owners[i].SetCountsShared(false)
 	}
 }
 
-// BenchmarkHashAlone places flows at owners that share no counts.
+// BenchmarkHashAlone measures placement by owners that share no counts.
 func BenchmarkHashAlone(b *testing.B) {
 	benchPlacement(b, (*placement).hashAlone)
 }
 
-// BenchmarkHashAloneFlows is BenchmarkHashAlone by the mean number of flows on
-// a host. The number of owners changes nothing then, so there is one.
+// BenchmarkHashAloneFlows is BenchmarkHashAlone for several mean numbers of flows
+// on a host. Without shared counts the number of owners makes no difference, so
+// there is one.
 func BenchmarkHashAloneFlows(b *testing.B) {
 	for _, n := range []int{50, 100, 300, targetFlows / targetHosts} {
 		b.Run(fmt.Sprintf("flows=%d", n), func(b *testing.B) {
--- a/cmd/bronzecost/fit.go
+++ b/cmd/bronzecost/fit.go
@@ -5,19 +5,20 @@
 	"slices"
 )
 
-// Line is a straight line that was fitted to points by least squares.
+// Line is a straight line fitted to points by least squares.
 type Line struct {
 	Intercept float64
 	Slope     float64
-	// Spread is the root mean square of the points' distances from the line,
-	// over the mean of their values.
+	// Spread is the root mean square of the residuals, divided by the absolute
+	// value of the mean.
 	Spread float64
 }
 
 // At returns the line's value at x.
 func (l Line) At(x float64) float64 { return l.Intercept + l.Slope*x }
 
-// fit returns the line through points; with fewer than two sizes it is flat.
+// fit returns the least-squares line of points. With fewer than two different
+// sizes its slope is 0.
 func fit(points []Point) (l Line) {
 	n := float64(len(points))
 	if n == 0 {
@@ -47,7 +48,7 @@
 	return l
 }
 
-// median returns the middle of values, 0 if there are none.
+// median returns the median of values, or 0 if there are none.
 func median(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/cmd/bronzecost/fleet_bench_test.go
+++ b/cmd/bronzecost/fleet_bench_test.go
@@ -15,7 +15,7 @@
 	"bronzeusher.example/bronzeusher/bronzelink"
 )
 
-// BenchmarkSetSnapshot is putting a configuration in force.
+// BenchmarkSetSnapshot measures putting a configuration in force.
 func BenchmarkSetSnapshot(b *testing.B) {
 	for _, d := range deployments {
 		b.Run(fmt.Sprintf("hosts=%d", d.hosts), func(b *testing.B) {
@@ -28,7 +28,7 @@
 	}
 }
 
-// BenchmarkConfigHeap reports the heap of a Store and a Balancer that have a
+// BenchmarkConfigHeap reports the heap of a Store and a Balancer with a
 // configuration in force.
 func BenchmarkConfigHeap(b *testing.B) {
 	type node struct {
@@ -51,9 +51,8 @@
 	}
 }
 
-// BenchmarkDiff is the answer to a peer that lacks one record. It reports the
-// bytes of the request, of the answer, and of an answer to a peer that lacks
-// all.
+// BenchmarkDiff measures the answer to a peer that lacks one record. It reports
+// the bytes of the request, of the answer, and of an answer with all records.
 func BenchmarkDiff(b *testing.B) {
 	for _, d := range deployments {
 		b.Run(fmt.Sprintf("hosts=%d", d.hosts), func(b *testing.B) {
@@ -70,18 +69,18 @@
 	}
 }
 
-// linkBytes is what TLS and WebSocket add to one message: a record's header,
-// type and tag, and a frame's header and mask.
+// linkBytes is the overhead of TLS and WebSocket per message: the header, type
+// and tag of a record, and the header and mask of a frame.
 const linkBytes = 22 + 8
 
-// controlBytes returns the length of a message on a control link.
+// controlBytes returns the bytes of a message on a control link.
 func controlBytes(t testing.TB, m *bronzelink.Message) float64 {
 	b, err := bronzelink.Encode(m)
 	require.NoError(t, err)
 	return float64(len(b) + linkBytes)
 }
 
-// recordsRequest and recordsAnswer are the messages that a node sends.
+// recordsRequest returns the request of a node that has the given versions.
 func recordsRequest(have []bronzeconf.RecordVersion) *bronzelink.Message {
 	r := &bronzelink.RecordsRequest{Revision: 1}
 	for _, v := range have {
@@ -90,6 +89,7 @@
 	return &bronzelink.Message{RecordsRequest: r}
 }
 
+// recordsAnswer returns the answer of a node with the Store s to such a request.
 func recordsAnswer(s *bronzeconf.Store, have []bronzeconf.RecordVersion) *bronzelink.Message {
 	revision, present, bodies := s.Diff(have)
 	r := &bronzelink.Records{Revision: revision}
@@ -133,15 +133,15 @@
 	})
 }
 
-// BenchmarkLoad reports the bytes of a Load that has counts.
+// BenchmarkLoad reports the bytes of a Load with counts.
 func BenchmarkLoad(b *testing.B) {
 	for _, d := range deployments {
 		benchBytes(b, fmt.Sprintf("hosts=%d", d.hosts), &bronzelink.Message{Load: d.ownLoad(b, self)})
 	}
 }
 
-// leavingLoad returns the Load of a node that shares no counts and knows n
-// servers to be leaving.
+// leavingLoad returns the Load of a node that shares no counts and knows of n
+// leaving servers.
 func leavingLoad(n int) bronzelink.Load {
 	l := bronzelink.Load{Origin: self, Sequence: 1 << 40}
 	for i := range n {
@@ -152,7 +152,8 @@
 	return l
 }
 
-// BenchmarkLeavingLoad reports the bytes of a Load that has no counts.
+// BenchmarkLeavingLoad reports the bytes of a Load with leaving servers and
+// without counts of owned flows.
 func BenchmarkLeavingLoad(b *testing.B) {
 	for _, n := range []int{1, 2, 5, 20} {
 		l := leavingLoad(n)
@@ -167,13 +168,13 @@
 	}
 }
 
-// BenchmarkOwned is the collection of a node's own counts.
+// BenchmarkOwned measures collecting a node's own counts.
 func BenchmarkOwned(b *testing.B) {
-	for _, d := range sharing {
+	for _, d := range sharingDeployments {
 		b.Run(fmt.Sprintf("hosts=%d", d.hosts), func(b *testing.B) {
 			bal := d.balancer(b)
 			for i := range heldFlows {
-				open(b, bal, d.key(i))
+				openFlow(b, bal, d.key(i))
 			}
 			for b.Loop() {
 				bal.OwnedFlows()
@@ -182,9 +183,9 @@
 	}
 }
 
-// BenchmarkSetOwned is taking in what one other node owns.
+// BenchmarkSetOwned measures storing the counts of one other node.
 func BenchmarkSetOwned(b *testing.B) {
-	for _, d := range sharing {
+	for _, d := range sharingDeployments {
 		b.Run(fmt.Sprintf("hosts=%d", d.hosts), func(b *testing.B) {
 			bal := d.balancer(b)
 			counts := d.counts(b)
@@ -195,14 +196,15 @@
 	}
 }
 
-// sharers are how many other nodes share their counts of the hosts of
-// sharing[1], which makes up to 5,000 pairs.
+// sharers are the numbers of other nodes that share their counts of the hosts of
+// sharingDeployments[1], up to 4,800 pairs, which
+// is below bronzepool.MaxSharedPairs.
 var sharers = []int{2, 4, 8, 15}
 
-// BenchmarkOwnersHeap reports the heap of a Balancer with the counts that
-// other nodes have shared.
+// BenchmarkOwnersHeap reports the heap of a Balancer with the counts of other
+// nodes.
 func BenchmarkOwnersHeap(b *testing.B) {
-	d := sharing[1]
+	d := sharingDeployments[1]
 	counts := d.counts(b)
 	for _, n := range sharers {
 		benchHeap(b, fmt.Sprintf("pairs=%d", n*d.hosts), func() *bronzecore.Balancer {
@@ -215,10 +217,10 @@
 	}
 }
 
-// BenchmarkLoadsHeap reports the heap of a Fleet with the Loads that other
-// nodes have shared, which it keeps to pass them on.
+// BenchmarkLoadsHeap reports the heap of a Fleet with the Loads of other nodes,
+// which it keeps to pass them on.
 func BenchmarkLoadsHeap(b *testing.B) {
-	d := sharing[1]
+	d := sharingDeployments[1]
 	for _, n := range sharers {
 		benchHeap(b, fmt.Sprintf("pairs=%d", n*d.hosts), func() *bronzefleet.Fleet {
 			return loadedFleet(b, d.ownLoad(b, "other"), n)
@@ -226,8 +228,7 @@
 	}
 }
 
-// BenchmarkEmptyLoadsHeap is BenchmarkLoadsHeap for nodes that share no
-// counts.
+// BenchmarkEmptyLoadsHeap is BenchmarkLoadsHeap for nodes that share no counts.
 func BenchmarkEmptyLoadsHeap(b *testing.B) {
 	for _, n := range fleets {
 		benchHeap(b, fmt.Sprintf("nodes=%d", n), func() *bronzefleet.Fleet {
@@ -236,7 +237,7 @@
 	}
 }
 
-// loadedFleet returns a Fleet that has got l of each of n nodes.
+// loadedFleet returns a Fleet that has received l from each of n nodes.
 func loadedFleet(b *testing.B, l *bronzelink.Load, n int) *bronzefleet.Fleet {
 	encoded, err := bronzelink.Encode(&bronzelink.Message{Load: l})
 	require.NoError(b, err)
@@ -250,9 +251,9 @@
 	return f
 }
 
-// BenchmarkScores is the rank scores of one node for the polls of all hosts.
-// A node computes them for each node whenever the members or the
-// configuration change.
+// BenchmarkScores measures the rank scores of one node for all hosts, which
+// decide which nodes poll a host. A node computes the scores of each node
+// whenever the members or the configuration change.
 func BenchmarkScores(b *testing.B) {
 	for _, d := range deployments {
 		b.Run(fmt.Sprintf("hosts=%d", d.hosts), func(b *testing.B) {
--- a/cmd/bronzecost/flow_bench_test.go
+++ b/cmd/bronzecost/flow_bench_test.go
@@ -19,10 +19,11 @@
 	"bronzeusher.example/bronzeusher/bronzewire"
 )
 
-// heldFlows is how many flows there are where their number isn't what varies.
+// heldFlows is the number of flows in benchmarks that vary something else.
 const heldFlows = 10_000
 
-// cycle returns a function that returns the elements of list in turn.
+// cycle returns a function that returns the elements of list in turn, over and
+// over.
 func cycle[T any](list []T) func() T {
 	next := -1
 	return func() T {
@@ -34,8 +35,8 @@
 	}
 }
 
-// BenchmarkDecisionHosts is the decision of a packet of an established flow,
-// by the size of the configuration.
+// BenchmarkDecisionHosts measures the decision about a packet of an established
+// flow for several sizes of the configuration.
 func BenchmarkDecisionHosts(b *testing.B) {
 	for _, d := range deployments {
 		b.Run(fmt.Sprintf("hosts=%d", d.hosts), func(b *testing.B) {
@@ -43,16 +44,16 @@
 			var keys []bronzeflow.Key
 			for i := range heldFlows {
 				keys = append(keys, d.key(i))
-				open(b, bal, keys[i])
+				openFlow(b, bal, keys[i])
 			}
-			decide(b, bal, keys, bronzecore.Forward)
+			benchDecisions(b, bal, keys, bronzecore.Forward)
 		})
 	}
 }
 
-// decide lets bal decide about callers' packets of the flows in turn, which
-// has to be want for each.
-func decide(b *testing.B, bal *bronzecore.Balancer, keys []bronzeflow.Key, want bronzecore.ActionKind) {
+// benchDecisions measures the decisions about callers' packets of the given flows
+// in turn. The last decision must be of kind want.
+func benchDecisions(b *testing.B, bal *bronzecore.Balancer, keys []bronzeflow.Key, want bronzecore.ActionKind) {
 	next := cycle(keys)
 	out := make([]bronzecore.Action, 0, 4)
 	p := bronzeflow.Packet{Kind: bronzeflow.Data, Payload: 100}
@@ -64,7 +65,7 @@
 	require.Equal(b, want, out[0].Kind)
 }
 
-// BenchmarkRelay is the decision to relay a packet of a flow that another
+// BenchmarkRelay measures the decision to relay a packet of a flow that another
 // node owns.
 func BenchmarkRelay(b *testing.B) {
 	d := deployments[0]
@@ -73,13 +74,13 @@
 			bal := d.balancer(b)
 			v := view(n)
 			bal.SetView(v)
-			decide(b, bal, d.owned(v, heldFlows, false), bronzecore.Relay)
+			benchDecisions(b, bal, d.keysByOwner(v, heldFlows, false), bronzecore.Relay)
 		})
 	}
 }
 
-// BenchmarkLearn is a server's packet of a flow that another node owns, and
-// that the packet teaches.
+// BenchmarkLearn measures the handling of a server's packet from which the node
+// learns a flow that another node owns.
 func BenchmarkLearn(b *testing.B) {
 	d := deployments[0]
 	for _, n := range fleets {
@@ -87,7 +88,7 @@
 			bal := d.balancer(b)
 			v := view(n)
 			bal.SetView(v)
-			next := cycle(d.owned(v, heldFlows, false))
+			next := cycle(d.keysByOwner(v, heldFlows, false))
 			out := make([]bronzecore.Action, 0, 4)
 			p := bronzeflow.Packet{Kind: bronzeflow.Data, Payload: 100}
 			forget := bronzelink.FlowMessage{}
@@ -106,15 +107,15 @@
 	}
 }
 
-// BenchmarkRecovery is what a new owner does about the first packet of a flow
-// that it doesn't know: queries, their answers, and the adoption. All asked
-// answer, and the last one knows the flow.
+// BenchmarkRecovery measures how a new owner handles the first packet of a flow
+// that it doesn't know: the queries, their answers, and the adoption. All queried
+// nodes answer, and the last one knows the flow.
 func BenchmarkRecovery(b *testing.B) {
 	d := deployments[0]
 	snapshot := d.store(b).Snapshot()
 	for _, n := range fleets {
 		v := view(n)
-		keys := d.owned(v, heldFlows, true)
+		keys := d.keysByOwner(v, heldFlows, true)
 		b.Run(fmt.Sprintf("nodes=%d", n), func(b *testing.B) {
 			out := make([]bronzecore.Action, 0, 16)
 			encoded := 0
@@ -138,8 +139,8 @@
 	}
 }
 
-// answerQueries answers the queries among actions and returns the bytes of
-// the queries and the answers.
+// answerQueries answers the queries in actions and returns the bytes of the
+// queries and the answers. Only the last answer knows the flow.
 func answerQueries(b *testing.B, bal *bronzecore.Balancer, actions []bronzecore.Action, key bronzeflow.Key, id bronzeflow.ServerID) (n int) {
 	var out []bronzecore.Action
 	for i, a := range actions {
@@ -158,14 +159,14 @@
 // udpBytes is the length of the headers of IPv4 and UDP.
 const udpBytes = 20 + 8
 
-// frameBytes returns the length of a message about flows on the network.
+// frameBytes returns the bytes of a flow message on the network.
 func frameBytes(t testing.TB, m *bronzelink.FlowMessage) int {
 	body, err := bronzelink.EncodeFlow(m)
 	require.NoError(t, err)
 	return len(body) + bronzewire.FrameHeaderLen + udpBytes
 }
 
-// BenchmarkResident reports the resident memory of a process's open flows.
+// BenchmarkResident reports the resident memory of all open flows.
 func BenchmarkResident(b *testing.B) {
 	d := deployments[0]
 	for _, n := range []int{10_000, 50_000, 100_000, 500_000} {
@@ -175,7 +176,7 @@
 				before := resident(b)
 				bal := d.balancer(b)
 				for i := range n {
-					open(b, bal, d.key(i))
+					openFlow(b, bal, d.key(i))
 				}
 				grown = resident(b) - before
 				runtime.KeepAlive(bal)
@@ -192,15 +193,15 @@
 		benchHeap(b, fmt.Sprintf("flows=%d", n), func() *bronzecore.Balancer {
 			bal := d.balancer(b)
 			for i := range n {
-				open(b, bal, d.key(i))
+				openFlow(b, bal, d.key(i))
 			}
 			return bal
 		})
 	}
 }
 
-// resident returns the resident memory of this process in bytes after garbage
-// was given back.
+// resident returns the resident memory of this process in bytes, after returning
+// unused memory to the operating system.
 func resident(b *testing.B) int {
 	debug.FreeOSMemory()
 	statm, err := os.ReadFile("/proc/self/statm")
@@ -210,11 +211,11 @@
 	return pages * os.Getpagesize()
 }
 
-// sweepTicks is how many ticks a whole sweep after a change takes.
+// sweepTicks is the number of ticks of a complete sweep.
 const sweepTicks = bronzeflow.Shards/3 + 1
 
-// BenchmarkSweep is a new view and the sweep of the table after it, by how
-// many flows the node owns.
+// BenchmarkSweep measures a change of the view and the sweep of the table after
+// it, for several numbers of owned flows.
 func BenchmarkSweep(b *testing.B) {
 	d := deployments[0]
 	alone := view(1)
@@ -226,7 +227,7 @@
 			bal := d.balancer(b)
 			bal.SetView(alone)
 			for i := range n {
-				open(b, bal, d.key(i))
+				openFlow(b, bal, d.key(i))
 			}
 			next := cycle([]*bronzefleet.View{both, alone})
 			out := make([]bronzecore.Action, 0, 64)
@@ -240,8 +241,8 @@
 	}
 }
 
-// BenchmarkSweepLearned is BenchmarkSweep by how many flows of other owners
-// the node has learned.
+// BenchmarkSweepLearned is BenchmarkSweep for several numbers of learned flows,
+// which other nodes own. The view stays the same.
 func BenchmarkSweepLearned(b *testing.B) {
 	d := deployments[0]
 	snapshot := d.store(b).Snapshot()
@@ -251,7 +252,7 @@
 			bal := d.balancer(b)
 			bal.SetView(v)
 			out := make([]bronzecore.Action, 0, 64)
-			for _, key := range d.owned(v, n, false) {
+			for _, key := range d.keysByOwner(v, n, false) {
 				ids := []bronzeflow.ServerID{snapshot.Match(&key).Pool[0].ID}
 				out = bal.FromServer(&bronzeflow.Packet{Key: key, Kind: bronzeflow.Data, Payload: 100}, ids, out[:0])
 			}
@@ -283,8 +284,8 @@
 	return bal
 }
 
-// BenchmarkCopyBytes reports the bytes of a message with copies and of its
-// acknowledgement on the network.
+// BenchmarkCopyBytes reports the bytes on the network of a message with copies
+// and of its acknowledgement.
 func BenchmarkCopyBytes(b *testing.B) {
 	for _, n := range []int{1, 8, 24, 48} {
 		b.Run(fmt.Sprintf("items=%d", n), func(b *testing.B) {
@@ -297,8 +298,8 @@
 	}
 }
 
-// copyBytes returns the bytes of n copies in one message and of their
-// acknowledgement.
+// copyBytes returns the bytes on the network of a message with n copies and of
+// its acknowledgement.
 func copyBytes(t testing.TB, n int) int {
 	var copies, acks bronzelink.FlowMessage
 	for i := range n {
--- a/cmd/bronzecost/format.go
+++ b/cmd/bronzecost/format.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// number writes x with three digits that count, and commas in large ones.
+// number formats x with three significant digits. Numbers of 1000 or more are
+// rounded to integers, with commas between groups of three digits.
 func number(x float64) string {
 	if x < 0 {
 		return "-" + number(-x)
@@ -30,6 +31,8 @@
 	}
 }
 
+// commas formats n, which isn't negative, with commas between groups of three
+// digits.
 func commas(n int64) string {
 	s := strconv.FormatInt(n, 10)
 	for i := len(s) - 3; i > 0; i -= 3 {
@@ -38,14 +41,14 @@
 	return s
 }
 
-// percent writes a share.
+// percent formats a fraction as a percentage.
 func percent(x float64) string { return number(100*x) + "%" }
 
-// megabytes and kilobytes write bytes in units of 2^20 and 2^10.
+// megabytes and kilobytes format bytes in units of 2^20 and 2^10.
 func megabytes(x float64) string { return number(x/(1<<20)) + " MB" }
 func kilobytes(x float64) string { return number(x/(1<<10)) + " KB" }
 
-// duration writes nanoseconds in a unit that fits.
+// duration formats nanoseconds in a suitable unit.
 func duration(ns float64) string {
 	switch d := time.Duration(ns); {
 	case d >= 2*time.Hour:
@@ -63,10 +66,11 @@
 	}
 }
 
-// seconds writes a time in seconds.
+// seconds formats a duration given in seconds.
 func seconds(s float64) string { return duration(s * float64(time.Second)) }
 
-// verdict compares a value with its budget.
+// verdict reports whether a value is within its budget, or else by which factor
+// it exceeds it.
 func verdict(value, budget float64) string {
 	if value <= budget {
 		return "met"
--- a/cmd/bronzecost/main.go
+++ b/cmd/bronzecost/main.go
@@ -14,15 +14,16 @@
 type options struct {
 	Out   string `help:"Data file to write; none means print only." type:"path" env:"BRONZECOST_OUT"`
 	Page  string `help:"Page whose marked tables are rewritten." type:"path" env:"BRONZECOST_PAGE"`
-	From  string `help:"Data file to read in place of measuring." type:"existingfile" env:"BRONZECOST_FROM"`
-	Name  string `help:"Only the costs whose name starts so; not with --out or --page." env:"BRONZECOST_NAME"`
+	From  string `help:"Data file to read instead of measuring." type:"existingfile" env:"BRONZECOST_FROM"`
+	Name  string `help:"Measure only the costs with this name prefix; not with --out or --page." env:"BRONZECOST_NAME"`
 	Quick bool   `help:"Short runs, for trying the command out." env:"BRONZECOST_QUICK"`
 }
 
-// errPartial tells that a file was to be written from a part of the costs.
-var errPartial = errors.New("--name measures a part only, which --out and --page can't be written from")
+// errPartial is returned if --out or --page is combined with --name. Both need
+// all costs.
+var errPartial = errors.New("--out and --page need all costs and can't be combined with --name")
 
-// AfterApply is called by kong to check the flags.
+// AfterApply checks the flags. It is called by kong.
 func (o *options) AfterApply() error {
 	if o.Name != "" && (o.Out != "" || o.Page != "") {
 		return errPartial
@@ -32,7 +33,7 @@
 
 func main() {
 	var opts options
-	k := kong.Parse(&opts, kong.Description("Measures what the balancer costs and what it will cost."))
+	k := kong.Parse(&opts, kong.Description("Measures the costs of the balancer and calculates those at the target size."))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	err := run(ctx, &opts, os.Stdout)
 	stop()
@@ -58,6 +59,8 @@
 	return rewritePage(opts.Page, report)
 }
 
+// load returns the report from the data file of --from, or else from new
+// measurements.
 func load(ctx context.Context, opts *options) (r *Report, err error) {
 	if opts.From != "" {
 		return readReport(opts.From)
--- a/cmd/bronzecost/measure.go
+++ b/cmd/bronzecost/measure.go
@@ -14,57 +14,58 @@
 	"github.com/pkg/errors"
 )
 
-// pace is how long and how often a benchmark runs.
-type pace struct {
+// runSettings determine how long and how often benchmarks run.
+type runSettings struct {
 	benchTime string
 	count     int
-	// nodes are the sizes of the fleets on the paused clock.
+	// nodes are the fleet sizes of the tests, separated by commas.
 	nodes string
 }
 
 var (
-	fullPace  = pace{benchTime: "200ms", count: 3, nodes: "7,40,82,490"}
-	quickPace = pace{benchTime: "20ms", count: 1, nodes: "7,12,20,40"}
+	fullSettings  = runSettings{benchTime: "200ms", count: 3, nodes: "7,40,82,490"}
+	quickSettings = runSettings{benchTime: "20ms", count: 1, nodes: "7,12,20,40"}
 )
 
-// nanoseconds is the unit of a benchmark's time.
+// nanoseconds is the unit of timings in benchmark results.
 const nanoseconds = "ns/op"
 
-// nodesVariable sets the sizes of the fleets in TestChangeReachesAll, which
-// prints what it has counted if it is set.
+// nodesVariable is the environment variable with the fleet sizes of
+// TestChangeReachesAll. If it is set, the test prints its counts.
 const nodesVariable = "BRONZECOST_NODES"
 
-// values holds what was measured: by benchmark with its size, and unit.
-type values map[string]map[string][]float64
+// measurements holds the measured values by benchmark name, including the size,
+// and by unit.
+type measurements map[string]map[string][]float64
 
-func (v values) add(name, unit string, x float64) {
+func (v measurements) add(name, unit string, x float64) {
 	if v[name] == nil {
 		v[name] = map[string][]float64{}
 	}
 	v[name][unit] = append(v[name][unit], x)
 }
 
-// measure runs what the chosen costs need.
+// measure runs the benchmarks and tests of the selected costs.
 func measure(ctx context.Context, opts *options) (r *Report, err error) {
 	defer func() {
 		if err != nil {
 			err = errors.Wrap(err, "measure")
 		}
 	}()
-	p := fullPace
+	p := fullSettings
 	if opts.Quick {
-		p = quickPace
+		p = quickSettings
 	}
 	chosen := selectCosts(opts.Name)
 	if len(chosen) == 0 {
-		return nil, errors.Errorf("no cost has a name that starts with %q", opts.Name)
+		return nil, errors.Errorf("no cost has the name prefix %q", opts.Name)
 	}
 	r, err = newReport(ctx, opts.Quick)
 	if err != nil {
 		return nil, err
 	}
 	r.Runs = p.count
-	v := values{}
+	v := measurements{}
 	for _, args := range commands(chosen, p) {
 		if err = runTest(ctx, args, p, v); err != nil {
 			return nil, err
@@ -80,9 +81,9 @@
 	return r, nil
 }
 
-// commands returns the arguments of the go commands that measure costs: one
+// commands returns the arguments of the go commands that measure the costs: one
 // for the benchmarks of each package, and one for each test.
-func commands(chosen []Cost, p pace) (list [][]string) {
+func commands(chosen []Cost, p runSettings) (list [][]string) {
 	patterns := map[string][]string{}
 	var packages []string
 	for _, c := range chosen {
@@ -111,8 +112,8 @@
 	return list
 }
 
-// runTest runs a go command and takes its figures in.
-func runTest(ctx context.Context, args []string, p pace, v values) (err error) {
+// runTest runs a go command and adds its results to v.
+func runTest(ctx context.Context, args []string, p runSettings, v measurements) (err error) {
 	defer func() {
 		if err != nil {
 			err = errors.Wrapf(err, "go %s", strings.Join(args, " "))
@@ -132,8 +133,8 @@
 	return v.parse(out)
 }
 
-// parse takes in the lines that hold figures.
-func (v values) parse(out []byte) (err error) {
+// parse adds the results in the output of go test.
+func (v measurements) parse(out []byte) (err error) {
 	lines := bufio.NewScanner(bytes.NewReader(out))
 	for lines.Scan() {
 		fields := strings.Fields(lines.Text())
@@ -147,9 +148,10 @@
 	return lines.Err()
 }
 
-// parseBenchmark takes in a line in the form of Go's benchmarks: a name, a
-// count, and pairs of a value and a unit.
-func (v values) parseBenchmark(fields []string) {
+// parseBenchmark adds the results of a line in the format of Go benchmarks: a
+// name, an iteration count, and pairs of a value and a unit. Other lines are
+// ignored.
+func (v measurements) parseBenchmark(fields []string) {
 	if _, err := strconv.Atoi(fields[1]); err != nil {
 		return
 	}
@@ -162,26 +164,29 @@
 	}
 }
 
-// traffic is what TestBytesPerNode logs.
-var traffic = regexp.MustCompile(`(\d+) nodes: steady \{sent:(\d+) .*with one replaced \{sent:(\d+) `)
+// trafficLog matches a line that TestBytesPerNode of package bronzefleet logs.
+var trafficLog = regexp.MustCompile(`(\d+) nodes: steady \{sent:(\d+) .*with one replaced \{sent:(\d+) `)
 
-func (v values) parseTraffic(line string) {
-	m := traffic.FindStringSubmatch(line)
+// parseTraffic adds the results of a line that trafficLog matches. Other lines
+// are ignored.
+func (v measurements) parseTraffic(line string) {
+	m := trafficLog.FindStringSubmatch(line)
 	if m == nil {
 		return
 	}
-	// The expression matches digits only.
+	// The groups match digits only.
 	sent, _ := strconv.ParseFloat(m[2], 64)
 	replaced, _ := strconv.ParseFloat(m[3], 64)
 	v.add("BytesPerNode/nodes="+m[1], "B/s", sent)
 	v.add("BytesPerNode/nodes="+m[1], "B/s-replaced", replaced)
 }
 
-// minSizes is the least number of sizes that a line is fitted to.
+// minSizes is the minimum number of sizes for fitting a line.
 const minSizes = 4
 
-// newSeries returns the points and the line of one cost.
-func newSeries(c Cost, v values) (s Series, err error) {
+// newSeries returns the points and the fitted line of one cost. It is an error
+// if fewer than minSizes sizes were measured.
+func newSeries(c Cost, v measurements) (s Series, err error) {
 	s = Series{Name: c.Name, What: c.What, Unit: unitName(c.Unit), Size: c.Size, Source: c.Package + " " + c.Bench}
 	for name, units := range v {
 		rest, ok := strings.CutPrefix(name, c.Bench)
@@ -205,7 +210,8 @@
 	return s, nil
 }
 
-// unitName drops from a benchmark's unit what only tells it from others.
+// unitName returns the unit without the suffix that distinguishes several values
+// of one benchmark, such as "B" for "B-heap".
 func unitName(unit string) string {
 	if unit == nanoseconds {
 		return "ns"
--- a/cmd/bronzecost/model.go
+++ b/cmd/bronzecost/model.go
@@ -8,13 +8,15 @@
 	"bronzeusher.example/bronzeusher/bronzepool"
 )
 
-// model works out what a node spends at the target from the measured lines.
+// model calculates the costs of a node at the target size from the measured
+// series.
 type model struct {
 	report *Report
-	err    error // the first series that is missing
+	err    error // a missing series
 }
 
-// at returns a cost at a size: the value measured there, or the line's.
+// at returns a cost at a size: the measured value, or that of the fitted line if
+// the size was not measured.
 func (m *model) at(name string, size float64) float64 {
 	s, err := m.report.series(name)
 	if err != nil {
@@ -29,7 +31,7 @@
 	return s.Line.At(size)
 }
 
-// slope returns what one more of the size costs.
+// slope returns by how much a cost grows per unit of its size.
 func (m *model) slope(name string) float64 {
 	s, err := m.report.series(name)
 	if err != nil {
@@ -39,206 +41,219 @@
 	return s.Line.Slope
 }
 
-// What falls to one node at the target.
+// The load of one node at the target size.
 const (
 	nodeFlows = float64(targetFlows) / targetNodes
 	nodeOpens = float64(targetOpens) / targetNodes
-	// duePolls are the hosts that a node has to ask, nodePolls those that it
-	// asks in a second.
-	duePolls  = float64(pollers*targetHosts) / targetNodes
-	nodePolls = min(duePolls, pollsPerSecond)
-	poolHosts = float64(targetHosts) / targetServices
-	meanLife  = float64(targetFlows) / targetOpens // seconds
-
-	changes      = changesPerDay / secondsPerDay
-	replacements = (replacedPerDay + failedPerDay) / secondsPerDay
-	// viewChanges and sweeps a second: a replacement is a leave and a join.
-	viewChanges = 2 * replacements
-	sweeps      = viewChanges + changes
+	// polledHosts is how many hosts a node has to poll, and nodePolls how many
+	// it polls per second.
+	polledHosts  = float64(pollersPerServer*targetHosts) / targetNodes
+	nodePolls    = min(polledHosts, pollsPerSecond)
+	hostsPerPool = float64(targetHosts) / targetServices
+	meanLifetime = float64(targetFlows) / targetOpens // seconds
+
+	changesPerSecond      = changesPerDay / secondsPerDay
+	replacementsPerSecond = (replacedPerDay + failedPerDay) / secondsPerDay
+	// A replacement is a leave and a join. A sweep follows each change of the
+	// view or the configuration.
+	viewChangesPerSecond = 2 * replacementsPerSecond
+	sweepsPerSecond      = viewChangesPerSecond + changesPerSecond
 )
 
-// A host that a change adds becomes the first candidate of a part of its
-// service's flows, which are exceptions from then on. That each change adds
-// one is the most that changes can make.
+// A host that a configuration change adds becomes the first candidate of some of
+// the flows of its service, which are exceptions from then on. The number of
+// exceptions is an upper bound: it assumes that each change adds a host.
 const (
-	newExceptions  = changes * nodeFlows / targetServices / (poolHosts + 1) // a second
-	heldExceptions = newExceptions * meanLife
+	newExceptionsPerSecond = changesPerSecond * nodeFlows / targetServices / (hostsPerPool + 1)
+	heldExceptions         = newExceptionsPerSecond * meanLifetime
 )
 
-// hostsPerNode is the target's proportion of hosts to nodes.
+// hostsPerNode is the ratio of hosts to nodes at the target size.
 const hostsPerNode = float64(targetHosts) / targetNodes
 
-// largestShared returns how many nodes with hosts in proportion share their
-// counts.
-func largestShared() float64 {
+// maxSharingNodes returns the size of the largest fleet that shares its counts,
+// with hostsPerNode hosts for each node.
+func maxSharingNodes() float64 {
 	return math.Floor(math.Sqrt(bronzepool.MaxSharedPairs / hostsPerNode))
 }
 
-// largestYoung returns how many nodes have Loads that are young enough.
-func (m *model) largestYoung() float64 {
+// maxNodesWithRecentLoads returns the size of the largest fleet, up to
+// targetNodes, whose shared counts are within maxCountAgeFraction.
+func (m *model) maxNodesWithRecentLoads() float64 {
 	n := 2.0
-	for n < targetNodes && m.loadInterval(n+1) <= staleShare*meanLife {
+	for n < targetNodes && m.loadInterval(n+1) <= maxCountAgeFraction*meanLifetime {
 		n++
 	}
 	return n
 }
 
-// loadInterval returns the seconds from one Load of a node to its next in a
-// fleet of that size with hosts in proportion (bronzefleet's ownWait), if it
-// shares its counts.
+// loadInterval returns the seconds between the Loads of a node
+// (loadSpreader.ownWait of bronzefleet) in a fleet of the given size that shares
+// its counts, with hostsPerNode hosts for each node.
 func (m *model) loadInterval(nodes float64) float64 {
 	hosts := hostsPerNode * nodes
 	withFlows := hosts * (1 - math.Exp(-nodeFlows/hosts))
 	return nodes * m.at(costLoadBytes, withFlows) / (bronzefleet.DefaultLoadBytesPerSecond * loadShare)
 }
 
-// leastFlows returns how many flows on a host a service needs for the hash
-// alone to keep imbalanceBound. What goes over the mean falls with the root of
-// the flows.
-func (m *model) leastFlows() float64 {
+// minFlowsForBound returns how many flows on a host a service needs for
+// placement by the hash alone to keep imbalanceBound. The excess over the mean
+// falls with the square root of the flows.
+func (m *model) minFlowsForBound() float64 {
 	over := (m.at(costBusiestBySize, targetFlows/targetHosts) - 1) / (imbalanceBound - 1)
 	return float64(targetFlows/targetHosts) * over * over
 }
 
-// Seconds from a server's own word that it is leaving to all nodes: the next
-// poll of one of its two pollers, and the way of the news. The poll comes after
-// a third of a round on average, and after a whole one if both have just been
-// there.
-func (m *model) leaveMean() float64 {
-	return duePolls/nodePolls/3 + shareInterval/2 + m.at(costLeavingSeconds, targetNodes)/1e3
+// meanLeaveSeconds returns the mean time from a server's report that it is
+// leaving until all nodes know: the wait for the next poll by one of its two
+// pollers, which is a third of a round on average, and the time to spread it.
+func (m *model) meanLeaveSeconds() float64 {
+	return polledHosts/nodePolls/3 + shareInterval/2 + m.at(costLeavingToAll, targetNodes)/1e3
 }
 
-func (m *model) leaveMost() float64 {
-	return math.Ceil(duePolls/nodePolls) + shareInterval + m.at(costLeavingSeconds, targetNodes)/1e3
+// maxLeaveSeconds is the maximum of the same time. The wait is a whole round if
+// both pollers have just polled the server.
+func (m *model) maxLeaveSeconds() float64 {
+	return math.Ceil(polledHosts/nodePolls) + shareInterval + m.at(costLeavingToAll, targetNodes)/1e3
 }
 
-// leaversAtOnce returns how many servers may say at once that they are leaving
-// for the news of both pollers to be sent in leaveWithinTarget.
-func (m *model) leaversAtOnce() float64 {
-	bytes := float64(bronzefleet.DefaultLoadBytesPerSecond) * (2*loadBurst + leaveWithinTarget)
-	return bytes / (pollers * m.at(costLeavingBytes, 1))
+// maxConcurrentLeaves returns how many servers may report at the same time that
+// they are leaving, so that the byte budget allows the Loads of both pollers to
+// be sent within leaveTargetSeconds.
+func (m *model) maxConcurrentLeaves() float64 {
+	bytes := float64(bronzefleet.DefaultLoadBytesPerSecond) * (2*loadBurstSeconds + leaveTargetSeconds)
+	return bytes / (pollersPerServer * m.at(costLeavingBytes, 1))
 }
 
-// copyRate returns the copies and ends of copies a second of one owner.
-func (m *model) copyRate() float64 { return 2 * newExceptions }
+// copyRate returns the copies and removals of copies that an owner sends per
+// second.
+func (m *model) copyRate() float64 { return 2 * newExceptionsPerSecond }
 
-// copyBytes returns the bytes that a node sends for copies in a second, as an
-// owner and as a successor. Successors differ, so each copy travels alone.
+// copyBytes returns the bytes per second that a node sends for copies, as an
+// owner and as a successor. Successors differ, so each copy is a message of its
+// own.
 func (m *model) copyBytes() float64 { return m.copyRate() * m.at(costCopyBytes, 1) }
 
-// lonePace is how many copies that travel alone the pace allows in a second,
-// and mostExceptions the share of openings that it can copy so.
+// singleCopyRate is how many copies per second the rate limit allows if each is a
+// message of its own, and maxExceptionShare is the share of openings that can be
+// copied at that rate.
 const (
-	lonePace       = float64(bronzecore.DefaultCopyBytesPerSecond) / (copyMessageBytes + copyItemBytes)
-	mostExceptions = lonePace / (2 * nodeOpens)
+	singleCopyRate    = float64(bronzecore.DefaultCopyBytesPerSecond) / (copyMessageBytes + copyItemBytes)
+	maxExceptionShare = singleCopyRate / (2 * nodeOpens)
 )
 
-// changeBytes returns the bytes that a node sends in one change.
+// changeBytes returns the bytes that a node sends for one configuration change.
 func (m *model) changeBytes() float64 {
-	return m.at(costChangeAsks, targetNodes) *
-		(m.at(costRequestBytes, targetHosts) + m.at(costRecordsBytes, targetHosts))
+	return m.at(costChangeExchanges, targetNodes) *
+		(m.at(costRecordsRequestBytes, targetHosts) + m.at(costRecordsBytes, targetHosts))
 }
 
-// pollBytes returns the bytes of a node's polls in a second.
+// pollBytes returns the bytes per second of a node's polls, in both directions.
 func (m *model) pollBytes() float64 { return m.slope(costPollBytes) * nodePolls }
 
-// queryBytes returns the bytes of one query and its answer. The flow that was
-// measured is known to the former owner, who is asked first.
+// queryBytes returns the bytes of one query and its answer. In the measurement
+// the former owner, which is queried first, knows the flow.
 func (m *model) queryBytes() float64 { return m.at(costRecoveryBytes, targetNodes) }
 
-// recoveryBytes returns the bytes of recoveries that a node sends in a second
-// on average. A replacement moves the flows of one node when it leaves and
-// when the next one joins, and each is asked of its former owner.
+// recoveryBytes returns the mean bytes per second that a node sends for
+// recoveries. A replacement moves the flows of one node when it leaves and again
+// when the new one joins, and for each flow the former owner is queried.
 func (m *model) recoveryBytes() float64 {
-	return replacements * 2 * nodeFlows * m.queryBytes() / targetNodes
+	return replacementsPerSecond * 2 * nodeFlows * m.queryBytes() / targetNodes
 }
 
-// openingBytes returns those of openings that are asked of former owners
-// before they are placed.
+// openingBytes returns the mean bytes per second of queries to former owners
+// about openings, which precede their placement.
 func (m *model) openingBytes() float64 {
-	asked := nodeOpens * bronzecore.DefaultUnsettledPeriod.Seconds() * formerQueries
-	return viewChanges * asked * m.queryBytes() / targetNodes
+	asked := nodeOpens * bronzecore.DefaultUnsettledPeriod.Seconds() * formerOwnerQueries
+	return viewChangesPerSecond * asked * m.queryBytes() / targetNodes
 }
 
-// newsBytes returns those of news of members that are replaced, at most: each
-// change of a member goes to all neighbours.
-func (m *model) newsBytes() float64 {
-	return replacements * memberChanges * mostNeighbours * m.slope(costMembersBytes)
+// memberUpdateBytes returns the maximum bytes per second of updates about
+// replaced members: each change of a member is sent to all neighbours.
+func (m *model) memberUpdateBytes() float64 {
+	return replacementsPerSecond * changesPerReplacement * maxNeighbours * m.slope(costMembersBytes)
 }
 
-// joinBytes returns what a node that joins asks in its first second about the
-// flows that it owns now, when each has so many packets a second each way.
+// joinBytes returns the bytes of the queries that a joining node sends in its
+// first second about the flows that it now owns, at the given packets per second
+// of a flow in each direction.
 func (m *model) joinBytes(packets float64) float64 {
 	seen := 1 - math.Exp(-packets*(1-knownShare(packets)))
 	return nodeFlows * seen * m.queryBytes() / 2 // without the answers
 }
 
-// bytes returns all that a node sends for control in a second.
+// bytes returns the total bytes per second that a node sends for control.
 func (m *model) bytes() float64 {
-	return m.at(costUnsharedBytes, targetNodes) + learnBytes + m.copyBytes() + m.pollBytes() +
-		changes*m.changeBytes() + m.recoveryBytes() + m.openingBytes() + m.newsBytes()
+	return m.at(costMemberBytesUnshared, targetNodes) + learnBytesPerSecond + m.copyBytes() + m.pollBytes() +
+		changesPerSecond*m.changeBytes() + m.recoveryBytes() + m.openingBytes() + m.memberUpdateBytes()
 }
 
-// pollCore and the other shares of a core that control takes.
+// pollCore, memberCore and replaceCore return the share of a core for polls, for
+// membership and for replacements of members.
 func (m *model) pollCore() float64   { return m.slope(costPoll) * nodePolls / 1e9 }
-func (m *model) memberCore() float64 { return m.at(costSecond, targetNodes) / 1e9 }
+func (m *model) memberCore() float64 { return m.at(costMemberSecond, targetNodes) / 1e9 }
 func (m *model) replaceCore() float64 {
-	return replacements * m.at(costReplace, targetNodes) / 1e9
+	return replacementsPerSecond * m.at(costMemberReplace, targetNodes) / 1e9
 }
 
-// rankCore is for finding out who polls whom.
+// rankCore returns the share of a core for determining which nodes poll which
+// hosts.
 func (m *model) rankCore() float64 {
-	return sweeps * targetNodes * m.at(costScore, targetHosts) / 1e9
+	return sweepsPerSecond * targetNodes * m.at(costRankScores, targetHosts) / 1e9
 }
 
-// changeWork returns the nanoseconds that one change costs a node.
+// changeWork returns the nanoseconds of work that a configuration change causes
+// at a node.
 func (m *model) changeWork() float64 {
-	return m.at(costApply, targetHosts) + m.at(costSnapshot, targetHosts) +
-		m.at(costChangeAsks, targetNodes)*m.at(costDiff, targetHosts)
+	return m.at(costConfigChange, targetHosts) + m.at(costSetSnapshot, targetHosts) +
+		m.at(costChangeExchanges, targetNodes)*m.at(costConfigDiff, targetHosts)
 }
 
-func (m *model) changeCore() float64 { return changes * m.changeWork() / 1e9 }
+// changeCore returns the share of a core for configuration changes.
+func (m *model) changeCore() float64 { return changesPerSecond * m.changeWork() / 1e9 }
 
-// sweepCore is for the sweeps after changes, with learned flows of that many
-// packets a second.
+// sweepCore returns the share of a core for the sweeps after changes, at the
+// given packets per second of a flow in each direction.
 func (m *model) sweepCore(packets float64) float64 {
-	return sweeps * (m.at(costSweep, nodeFlows) + m.at(costSweepLearned, m.learned(packets))) / 1e9
+	return sweepsPerSecond * (m.at(costSweep, nodeFlows) + m.at(costSweepLearned, m.learnedFlows(packets))) / 1e9
 }
 
-// core returns the share of a core that control takes.
+// core returns the total share of a core for control work.
 func (m *model) core() float64 {
 	return m.pollCore() + m.memberCore() + m.replaceCore() + m.rankCore() +
-		m.changeCore() + m.sweepCore(manyPackets)
+		m.changeCore() + m.sweepCore(highPacketRate)
 }
 
-// knownShare returns the share of all flows that a node knows, when each has
-// so many packets a second each way: those of which a packet of the server
-// came by in the 30 s of Timing.Learned.
+// knownShare returns the share of all flows that a node knows, at the given
+// packets per second of a flow in each direction: those of which a server's
+// packet passed it within the 30 s of bronzecore.DefaultLearnedIdleTimeout.
 func knownShare(packets float64) float64 { return 1 - math.Exp(-packets*30/targetNodes) }
 
-// learned returns how many flows of others a node remembers.
-func (m *model) learned(packets float64) float64 {
+// learnedFlows returns how many flows of other owners a node holds.
+func (m *model) learnedFlows(packets float64) float64 {
 	return min(targetFlows*knownShare(packets), tableCapacity-nodeFlows)
 }
 
-// tableMemory returns the flow table's memory.
+// tableMemory returns the bytes of memory of the flow table.
 func (m *model) tableMemory(packets float64) float64 {
-	return m.slope(costFlowHeap) * (nodeFlows + m.learned(packets))
+	return m.slope(costFlowHeap) * (nodeFlows + m.learnedFlows(packets))
 }
 
-// copyMemory returns that of a successor's copies: as many as a node has
-// exceptions.
+// copyMemory returns the bytes of memory of the copies that a successor holds: as
+// many as a node has exceptions.
 func (m *model) copyMemory() float64 { return m.slope(costCopyHeap) * heldExceptions }
 
+// viewMemory returns the bytes of memory of the views that a node holds.
 func (m *model) viewMemory() float64 { return heldViews * m.at(costViewHeap, targetNodes) }
 
-// controlMemory returns all but the flow table.
+// controlMemory returns the bytes of memory of everything but the flow table.
 func (m *model) controlMemory() float64 {
 	return m.copyMemory() + m.viewMemory() + m.at(costEmptyLoadsHeap, targetNodes) + m.at(costConfigHeap, targetHosts)
 }
 
-// changeSeconds returns the time of a change to all nodes: the delays, and
-// the work on the longest way.
+// changeSeconds returns the time that a configuration change takes to reach all
+// nodes: the delays, and the work at the nodes of the longest path.
 func (m *model) changeSeconds() float64 {
-	return m.at(costChangeSeconds, targetNodes)/1e3 + hopsToAll*m.changeWork()/1e9
+	return m.at(costChangeToAll, targetNodes)/1e3 + maxHops*m.changeWork()/1e9
 }
--- a/cmd/bronzecost/page.go
+++ b/cmd/bronzecost/page.go
@@ -9,10 +9,10 @@
 	"bronzeusher.example/bronzeusher/bronzereport"
 )
 
-// marked finds a table of the page with the marks around it.
-var marked = regexp.MustCompile(`(?s)<!-- bronzecost:(\w+) -->\n.*?<!-- /bronzecost -->`)
+// markedTable matches a table of the page with the marks around it.
+var markedTable = regexp.MustCompile(`(?s)<!-- bronzecost:(\w+) -->\n.*?<!-- /bronzecost -->`)
 
-// rewritePage puts new tables between the marks of a page.
+// rewritePage replaces the marked tables of the page in the file path.
 func rewritePage(path string, r *Report) (err error) {
 	defer func() {
 		if err != nil {
@@ -35,12 +35,12 @@
 }
 
 // replaceTables returns page with its marked tables replaced. A mark without
-// a table is an error, and a table without a mark too: the page would look up
-// to date, and have old figures or none.
+// a table is an error, and so is a table without a mark: otherwise the page
+// would look up to date but have outdated figures or none.
 func replaceTables(page string, all map[string]*table) (text string, err error) {
 	used := map[string]bool{}
-	text = marked.ReplaceAllStringFunc(page, func(old string) string {
-		name := marked.FindStringSubmatch(old)[1]
+	text = markedTable.ReplaceAllStringFunc(page, func(old string) string {
+		name := markedTable.FindStringSubmatch(old)[1]
 		t := all[name]
 		if t == nil {
 			err = errors.Errorf("no table %s", name)
@@ -57,7 +57,7 @@
 	return text, err
 }
 
-// markdown returns the table in Markdown.
+// markdown formats the table as Markdown.
 func (t *table) markdown() string {
 	return (&bronzereport.Table{Head: t.head, Rows: t.rows}).Markdown()
 }
--- a/cmd/bronzecost/page_test.go
+++ b/cmd/bronzecost/page_test.go
@@ -17,7 +17,7 @@
 	require.Equal(t, want, again)
 }
 
-func TestReplaceTablesNamesWhatIsMissing(t *testing.T) {
+func TestReplaceTablesMissing(t *testing.T) {
 	all := map[string]*table{"one": {head: []string{"a"}}}
 	_, err := replaceTables("no marks", all)
 	require.ErrorContains(t, err, "table one has no mark")
@@ -25,8 +25,9 @@
 	require.ErrorContains(t, err, "no table two")
 }
 
-// TestTablesNeedAllSeries makes the tables of a report that lacks one series.
-func TestTablesNeedAllSeries(t *testing.T) {
+// TestTablesMissingSeries checks that tables succeeds with all series and without
+// one that no table uses, and names one that is missing otherwise.
+func TestTablesMissingSeries(t *testing.T) {
 	r := &Report{}
 	for _, c := range costs {
 		points := []Point{{Size: 7, Value: 1}, {Size: 490, Value: 2}}
@@ -40,7 +41,7 @@
 			require.Len(t, cells, len(tab.head), name)
 		}
 	}
-	r.Series = r.Series[1:] // the decision by flows, which no table needs
+	r.Series = r.Series[1:] // the first one, DecisionByFlows, which no table uses
 	_, err = tables(r)
 	require.NoError(t, err)
 	i := 0
--- a/cmd/bronzecost/poll_bench_test.go
+++ b/cmd/bronzecost/poll_bench_test.go
@@ -16,7 +16,7 @@
 	"bronzeusher.example/bronzeusher/bronzenode"
 )
 
-// countedConn counts the bytes of a connection both ways.
+// countedConn counts the bytes of a connection in both directions.
 type countedConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -34,9 +34,9 @@
 	return n, err
 }
 
-// BenchmarkPoll is asking servers for their reports over open connections. It
-// reports the bytes both ways, without those of TCP and IP. The server's part
-// of the work is in its time.
+// BenchmarkPoll measures polling servers for their reports over open connections.
+// It reports the bytes in both directions, without those of TCP and IP. The time
+// includes the server's part of the work.
 func BenchmarkPoll(b *testing.B) {
 	connections := 1234
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -59,6 +59,7 @@
 	}
 }
 
+// countedClient returns a client that adds the bytes of its connections to n.
 func countedClient(n *atomic.Int64) *http.Client {
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
 		var d net.Dialer
@@ -68,7 +69,7 @@
 	return &http.Client{Transport: &http.Transport{DialContext: dial}}
 }
 
-// poll asks once, as a node does.
+// poll requests and decodes one report, as a node does.
 func poll(b *testing.B, client *http.Client, url string) {
 	req, err := http.NewRequestWithContext(b.Context(), http.MethodGet, url, http.NoBody)
 	require.NoError(b, err)
--- a/cmd/bronzecost/report.go
+++ b/cmd/bronzecost/report.go
@@ -18,14 +18,14 @@
 // Report is the content of the data file.
 type Report struct {
 	bronzereport.Source
-	// Quick tells that the runs were short, so that timings are rough.
+	// Quick is set if the runs were short, which makes timings imprecise.
 	Quick bool
-	// Runs is how often each benchmark ran; the values are medians.
+	// Runs is the number of runs of each benchmark. Values are their medians.
 	Runs   int
 	Series []Series
 }
 
-// Series is one cost at several sizes, with the line fitted to it.
+// Series is one cost measured at several sizes, with the fitted line.
 type Series struct {
 	Name   string
 	What   string
@@ -36,11 +36,14 @@
 	Line   Line
 }
 
-// Point is the median of the runs at one size, with the lowest and highest.
+// Point is the median of the runs at one size, with their lowest and highest
+// values.
 type Point struct {
 	Size, Value, Low, High float64
 }
 
+// newReport returns a report without series that describes this machine and
+// revision.
 func newReport(ctx context.Context, quick bool) (r *Report, err error) {
 	source, err := bronzereport.NewSource(ctx)
 	if err != nil {
@@ -49,7 +52,8 @@
 	return &Report{Source: source, Quick: quick}, nil
 }
 
-// output returns what a command prints, without the space around it.
+// output runs a command and returns its standard output, with surrounding white
+// space removed.
 func output(ctx context.Context, name string, args ...string) (text string, err error) {
 	b, err := exec.CommandContext(ctx, name, args...).Output()
 	if err != nil {
@@ -58,10 +62,12 @@
 	return strings.TrimSpace(string(b)), nil
 }
 
+// moduleRoot returns the root directory of the module.
 func moduleRoot(ctx context.Context) (dir string, err error) {
 	return output(ctx, "go", "list", "-m", "-f", "{{.Dir}}")
 }
 
+// readReport reads a report from a data file.
 func readReport(path string) (r *Report, err error) {
 	defer func() {
 		if err != nil {
@@ -76,6 +82,7 @@
 	return r, json.Unmarshal(b, r)
 }
 
+// write writes the report to a data file.
 func (r *Report) write(path string) (err error) {
 	defer func() {
 		if err != nil {
@@ -89,7 +96,7 @@
 	return os.WriteFile(path, append(b, '\n'), 0o644)
 }
 
-// print writes a table of all series.
+// print writes a table of all series to w.
 func (r *Report) print(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	if _, err := fmt.Fprintln(t, "NAME\tSIZE\tVALUES\tUNIT\tINTERCEPT\tSLOPE\tSPREAD"); err != nil {
@@ -106,7 +113,7 @@
 	return t.Flush()
 }
 
-// values returns the points as text.
+// values formats the points as a list of sizes and values.
 func (s *Series) values() string {
 	list := make([]string, len(s.Points))
 	for i, p := range s.Points {
@@ -115,7 +122,7 @@
 	return strings.Join(list, ", ")
 }
 
-// series returns the series of that name.
+// series returns the series with the given name, or an error if there is none.
 func (r *Report) series(name string) (s *Series, err error) {
 	for i := range r.Series {
 		if r.Series[i].Name == name {
--- a/cmd/bronzecost/seed_test.go
+++ b/cmd/bronzecost/seed_test.go
@@ -6,8 +6,8 @@
 	_ "pgregory.net/rapid" // registers the flag
 )
 
-// The properties draw the same values on every run, so that a run's verdict
-// says something about the code and not about the draw.
+// Property tests draw the same values on every run, so that their results depend
+// only on the code.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
--- a/cmd/bronzecost/target.go
+++ b/cmd/bronzecost/target.go
@@ -2,7 +2,7 @@
 
 import "bronzeusher.example/bronzeusher/bronzefleet"
 
-// The target that the page is about, as its users gave it.
+// The required size of the deployment.
 const (
 	targetNodes    = 490
 	targetHosts    = 5100
@@ -16,86 +16,96 @@
 	replacedPerDay = 1800
 	failedPerDay   = 7
 
-	// changeWithin is how many seconds a change may take to all nodes.
-	changeWithinTarget = 6
+	// changeTargetSeconds is how long a configuration change may take to reach
+	// all nodes.
+	changeTargetSeconds = 6
 )
 
-// The budget of a node for control.
+// The budget of a node for control work.
 const (
 	budgetCore   = 0.012     // of a core
 	budgetMemory = 128 << 20 // bytes
 	budgetBytes  = 6 << 10   // a second
 )
 
-// What the users have not given, and we assume.
+// Assumptions about what the requirements leave open.
 const (
-	// rackNodes is how many nodes a rack or a switch takes along.
+	// rackNodes is how many nodes fail with one rack or switch.
 	rackNodes = 20
-	// fewPackets and manyPackets are a flow's packets a second each way.
-	fewPackets  = 1
-	manyPackets = 10
-	// staleShare is the part of a flow's mean life that shared counts may be
-	// old: older ones tell little of the flows of now.
-	staleShare = 0.1
+	// lowPacketRate and highPacketRate are packets per second of a flow in each
+	// direction.
+	lowPacketRate  = 1
+	highPacketRate = 10
+	// maxCountAgeFraction is the maximum age of shared counts as a fraction of
+	// the mean lifetime of a flow. Older counts say little about the current
+	// flows.
+	maxCountAgeFraction = 0.1
 )
 
-// What the packages do today, which they don't export.
+// Constants and behaviour of other packages, which don't export them.
 const (
-	// pollers nodes ask each server for its report (bronzenode.pollers), each
-	// pollsPerSecond servers at most (bronzenode.pollsPerInterval), and
-	// zoneReaders of each zone read the platform.
-	pollers        = 2
-	pollsPerSecond = 10
-	zoneReaders    = 2
-	// readsPerReader is the list of VMs every 5 s and a watch a second.
-	readsPerReader = 1.0/5 + 1
-	// shareInterval is how many seconds a poll's news waits at most until it
-	// is handed to the fleet (bronzenode.DefaultShareInterval).
+	// pollersPerServer nodes poll each server for its report
+	// (bronzenode.pollersPerServer). Each node polls at most pollsPerSecond
+	// servers per second (bronzenode.pollsPerInterval). In each zone
+	// platformReadersPerZone nodes read the platform
+	// (bronzenode.platformReadersPerZone).
+	pollersPerServer       = 2
+	pollsPerSecond         = 10
+	platformReadersPerZone = 2
+	// platformCallsPerReader is the calls per second: the list of VMs every 5 s
+	// and a watch every second.
+	platformCallsPerReader = 1.0/5 + 1
+	// shareInterval is how many seconds the result of a poll waits at most
+	// until it is passed to the fleet (bronzenode.DefaultShareInterval).
 	shareInterval = 0.25
-	// loadShare is the part of DefaultLoadBytesPerSecond for regular Loads,
-	// and loadBurst for how many seconds' worth of it may be saved up, or be
-	// owed after news of servers that leave.
-	loadShare = 0.7
-	loadBurst = 2
-	// copyMessageBytes and copyItemBytes are what the pace of copies takes a
-	// message for, and each copy in it.
+	// loadShare is the share of DefaultLoadBytesPerSecond for regular Loads
+	// (bronzefleet.loadShare). loadBurstSeconds is the time over which unused
+	// budget accumulates, and by which Loads with leaving servers may overdraw
+	// it (bronzefleet.loadBurst).
+	loadShare        = 0.7
+	loadBurstSeconds = 2
+	// copyMessageBytes and copyItemBytes are the sizes that the rate limit of
+	// copies assumes for a message and for each copy in it (bronzecore).
 	copyMessageBytes = 60
 	copyItemBytes    = 20
-	// copyDelay is how old an exception is when its copy has arrived: CopyAge,
-	// and a second for the rounding of ages.
+	// copyDelay is the age in seconds of an exception when its copy has arrived:
+	// bronzecore.DefaultMinCopyAge, and a second because ages are rounded.
 	copyDelay = 3.0
-	// learnBytes is the pace of Learn messages, in bytes a second.
-	learnBytes = 512
-	// formerQueries is how many former owners are asked at first.
-	formerQueries = 2
-	// recoveryQueries is how many nodes are asked about a flow whose owner
-	// failed: the others of its order.
+	// learnBytesPerSecond is the rate limit of Learn messages
+	// (bronzecore.learnBytesPerSecond).
+	learnBytesPerSecond = 512
+	// formerOwnerQueries is how many former owners are queried first.
+	formerOwnerQueries = 2
+	// recoveryQueries is how many nodes are queried about a flow whose owner
+	// failed: the other nodes in the order of the flow.
 	recoveryQueries = bronzefleet.OrderLength - 1
-	// memberChanges are those of a replacement: a leave, an end and a join.
-	// mostNeighbours of a node are told of each.
-	memberChanges  = 3
-	mostNeighbours = 8
-	// detectIntervals pass from a death to the others' knowledge: three of
-	// silence, one of asking, four of waiting for a refutation. In a large
-	// fleet each is a second.
+	// changesPerReplacement is how many status changes of members a replacement
+	// causes: a leave, an end and a join. Each is sent to all neighbours of a
+	// node, at most maxNeighbours.
+	changesPerReplacement = 3
+	maxNeighbours         = 8
+	// detectIntervals is how many heartbeat intervals pass from the failure of a
+	// node until the others know: three of silence, one of probing, and four of
+	// waiting for a refutation. In a large fleet an interval is a second.
 	detectIntervals = 3 + 1 + 4
 	// tableCapacity is bronzeflow.DefaultCapacity.
 	tableCapacity = 1 << 20
-	// heldViews are the views that a node holds: that of now, and the one of
-	// the last sweep.
+	// heldViews is how many views a node holds: the current one, and that of the
+	// last sweep.
 	heldViews = 2
-	// hopsToAll is the longest way between two of 490 members.
-	hopsToAll = 5
+	// maxHops is the longest path between two of 490 members.
+	maxHops = 5
 )
 
-// What the users promise or ask for, which the policy has to hold.
+// Required service levels.
 const (
-	// imbalanceBound holds for services with boundFlows or more on a host.
+	// imbalanceBound applies to services with minBoundFlows or more flows on a
+	// host.
 	imbalanceBound = 1.10
-	boundFlows     = 50
-	// leaveWithinTarget is in how many seconds a server that leaves gets no
-	// new flows from anywhere.
-	leaveWithinTarget = 3
+	minBoundFlows  = 50
+	// leaveTargetSeconds is how long it may take until a leaving server gets no
+	// new flows from any node.
+	leaveTargetSeconds = 3
 )
 
 const secondsPerDay = 24 * 60 * 60.0
