--- a/cmd/bronzeceiling/ceiling.go
+++ b/cmd/bronzeceiling/ceiling.go
@@ -1,19 +1,20 @@
 package main
 
-// Day is what was measured of one day, and when nobody could be served.
+// Day holds the measurements of one day and the times without service.
 type Day struct {
 	Deployment string
 	Name       string
 	// Classes are the kinds of requests.
 	Classes []Class
-	// Dark are the times without any node that was up.
+	// Dark lists the intervals in which no node was up.
 	Dark []Interval
-	// Windows follow each other without gaps.
+	// Windows lists consecutive windows without gaps.
 	Windows []Window
 }
 
-// Class is a kind of request. Share is its part of all requests; what it earns is Worth
+// Class is a kind of request. Share is its fraction of all requests. An answer earns Worth
 // within AimMS of the caller's first try, LateWorth up to DeadlineMS, and nothing later.
+// WorkMS is how long a server takes to answer.
 type Class struct {
 	Name       string
 	Share      float64
@@ -24,14 +25,14 @@
 	LateWorth  float64
 }
 
-// Interval is a time of the day, in seconds from its start.
+// Interval is a part of the day, in seconds from its start.
 type Interval struct {
 	FromS float64
 	ToS   float64
 }
 
-// Window is what callers saw in a part of the day: how many requests they sent, and how
-// many were answered late or not at all.
+// Window holds what callers measured in a part of the day: how many requests they sent
+// (Asked), and how many of them were answered late (Late) or not at all (Lost).
 type Window struct {
 	FromS float64
 	ToS   float64
@@ -40,29 +41,30 @@
 	Lost  int
 }
 
-// Loss is what a window lost, in requests that earned nothing; a late one counts for what
-// it lost. Unavoidable is the part that no system could have earned, since no node was up.
+// Loss is the loss of a window, in requests that earned nothing. A late request counts as
+// the fraction that it lost. Unavoidable is the part of Total that no system could have
+// earned, because no node was up.
 type Loss struct {
 	Window
 	Total       float64
 	Unavoidable float64
 }
 
-// Avoidable returns the part that the system could have earned.
+// Avoidable returns the part of the loss that the system could have earned.
 func (l *Loss) Avoidable() float64 { return max(l.Total-l.Unavoidable, 0) }
 
-// copiesMS is how long after their first try callers send an opening again, and what
-// follows: the next try begins as soon as the first is given up. All figures are those of
-// the callers' protocol, in milliseconds.
-var copiesMS = []float64{0, 200, 600, 1400, 1600, 2000}
+// transmissionsMS are the times at which a caller sends an opening, in milliseconds from its
+// first try, as its protocol defines them: the first try with its retransmissions, and then
+// the next try, which begins as soon as the first is given up.
+var transmissionsMS = []float64{0, 200, 600, 1400, 1600, 2000}
 
-// handshakeMS is how long an opening takes, in milliseconds, as measured by nodes.
+// handshakeMS is the duration of an opening in milliseconds, as measured by nodes.
 const handshakeMS = 4
 
-// sample is how finely the time without nodes is divided, in seconds.
-const sample = 0.005
+// sampleSeconds is the step at which the time without nodes is sampled.
+const sampleSeconds = 0.005
 
-// Losses returns what the windows of a day lost.
+// Losses returns the loss of each window of the day, which is 0 without requests.
 func (d *Day) Losses() (list []Loss) {
 	for _, w := range d.Windows {
 		l := Loss{Window: w}
@@ -75,7 +77,7 @@
 	return list
 }
 
-// lateLoss returns what a late answer loses, on average over the classes.
+// lateLoss returns the fraction that a late answer loses, averaged over the classes.
 func (d *Day) lateLoss() (loss float64) {
 	for _, c := range d.Classes {
 		loss += c.Share * (1 - c.LateWorth/c.Worth)
@@ -83,22 +85,24 @@
 	return loss
 }
 
-// unavoidable returns how many of a window's requests nobody could have earned.
+// unavoidable returns how many requests of a window were lost because no node was up, if
+// requests are spread evenly over the window.
 func (d *Day) unavoidable(w Window) (lost float64) {
 	rate := float64(w.Asked) / (w.ToS - w.FromS)
 	for _, dark := range d.Dark {
-		for at := max(dark.FromS, w.FromS); at < min(dark.ToS, w.ToS); at += sample {
+		for at := max(dark.FromS, w.FromS); at < min(dark.ToS, w.ToS); at += sampleSeconds {
 			for _, c := range d.Classes {
-				lost += sample * rate * c.Share * (1 - c.best((dark.ToS-at)*1000))
+				lost += sampleSeconds * rate * c.Share * (1 - c.maxEarned((dark.ToS-at)*1000))
 			}
 		}
 	}
 	return lost
 }
 
-// best returns the most that a request can earn that is sent so long before a node is up.
-func (c *Class) best(beforeMS float64) float64 {
-	for _, at := range copiesMS {
+// maxEarned returns the maximum fraction of Worth that a request can earn whose first try is
+// sent beforeMS before a node is up. It is answered after the first transmission from then on.
+func (c *Class) maxEarned(beforeMS float64) float64 {
+	for _, at := range transmissionsMS {
 		if at < beforeMS {
 			continue
 		}
--- a/cmd/bronzeceiling/ceiling_test.go
+++ b/cmd/bronzeceiling/ceiling_test.go
@@ -9,25 +9,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-// quick is a class that must be answered before its caller tries again, slow one that may
-// be answered after the first repetition.
+// A request of the class quick is late if it is answered after a retransmission. One of the
+// class slow is still in time if it is answered after the first retransmission.
 var (
 	quick = Class{Name: "quick", Share: 1, AimMS: 150, DeadlineMS: 1000, WorkMS: 30, Worth: 1, LateWorth: 0.1}
 	slow  = Class{Name: "slow", Share: 1, AimMS: 500, DeadlineMS: 3000, WorkMS: 5, Worth: 1, LateWorth: 0.1}
 )
 
-// All nodes are down for a second. What is sent then is answered after it at best, by the
-// caller's next repetition.
-func TestBestIsTheNextRepetition(t *testing.T) {
-	require.InDelta(t, 1, quick.best(0), 1e-9)
-	require.InDelta(t, 0.1, quick.best(100), 1e-9, "after 234 ms")
-	require.InDelta(t, 0.1, quick.best(599), 1e-9, "after 634 ms")
-	require.InDelta(t, 0, quick.best(700), 1e-9, "after 1,434 ms, past its deadline")
-	require.InDelta(t, 1, slow.best(200), 1e-9)
-	require.InDelta(t, 0.1, slow.best(201), 1e-9)
+// TestMaxEarned checks that a request that is sent while no node is up is answered after the
+// caller's next retransmission.
+func TestMaxEarned(t *testing.T) {
+	require.InDelta(t, 1, quick.maxEarned(0), 1e-9)
+	require.InDelta(t, 0.1, quick.maxEarned(100), 1e-9, "after 234 ms")
+	require.InDelta(t, 0.1, quick.maxEarned(599), 1e-9, "after 634 ms")
+	require.InDelta(t, 0, quick.maxEarned(700), 1e-9, "after 1,434 ms, past its deadline")
+	require.InDelta(t, 1, slow.maxEarned(200), 1e-9)
+	require.InDelta(t, 0.1, slow.maxEarned(201), 1e-9)
 }
 
-func TestLossesAreSplitAtWhatNobodyCouldEarn(t *testing.T) {
+func TestLossesUnavoidable(t *testing.T) {
 	d := Day{
 		Classes: []Class{quick}, Dark: []Interval{{FromS: 2, ToS: 3}},
 		Windows: []Window{{FromS: 0, ToS: 2, Asked: 200, Late: 10}, {FromS: 2, ToS: 4, Asked: 200, Late: 80, Lost: 60}},
@@ -36,12 +36,12 @@
 	require.InDelta(t, 9, list[0].Total, 1e-9)
 	require.Zero(t, list[0].Unavoidable)
 	require.InDelta(t, 132, list[1].Total, 1e-9)
-	// 40 of the 100 are sent 600 ms or more before the end, and earn nothing.
+	// 40 of the 100 are sent 600 ms or more before a node is up, and earn nothing.
 	require.InDelta(t, 40+60*0.9, list[1].Unavoidable, 2)
 	require.InDelta(t, list[1].Total-list[1].Unavoidable, list[1].Avoidable(), 1e-9)
 }
 
-func TestRunNamesTheFieldThatIsWrong(t *testing.T) {
+func TestRunInvalidField(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "days.json")
 	for body, field := range map[string]string{
 		`[{}]`:           "Name",
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestRunPrintsARowForEachDay(t *testing.T) {
+func TestRunRows(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "days.json")
 	body := `[{"Deployment":"s","Name":"d","Classes":[{"Name":"c","Share":1,"AimMS":150,"DeadlineMS":1000,"Worth":1}],
 		"Windows":[{"FromS":0,"ToS":2,"Asked":10,"Lost":1}]}]`
--- a/cmd/bronzeceiling/main.go
+++ b/cmd/bronzeceiling/main.go
@@ -1,11 +1,12 @@
-// Bronzeceiling tells what the windows of measured days lost, and how much of it nobody
-// could have earned because no node was up.
+// Command bronzeceiling reports how many requests were lost on measured days, and how much
+// of the loss was unavoidable because no node was up.
 //
 // # Usage
 //
 //	bronzeceiling docs/data/ceiling.json
 //
-// The file has a list of days (Day), in JSON. It prints a table in Markdown, a day a row.
+// reads a list of days (Day) in JSON and prints a Markdown table with a row for each day.
+// With --windows it prints a row for each window that lost something.
 package main
 
 import (
@@ -21,12 +22,12 @@
 
 type options struct {
 	File    string `arg:"" help:"Days to read, in JSON." type:"existingfile" env:"BRONZECEILING_FILE"`
-	Windows bool   `help:"Print the windows that lost something, in place of the days." env:"BRONZECEILING_WINDOWS"`
+	Windows bool   `help:"Print the windows that lost something, instead of the days." env:"BRONZECEILING_WINDOWS"`
 }
 
 func main() {
 	var opts options
-	k := kong.Parse(&opts, kong.Description("Tells what measured days lost and couldn't have earned."))
+	k := kong.Parse(&opts, kong.Description("Reports the losses of measured days, and which part of them was unavoidable."))
 	k.FatalIfErrorf(run(&opts, os.Stdout))
 }
 
@@ -49,28 +50,28 @@
 	return err
 }
 
-// check returns the first fault of a day, with its field.
+// check validates a day. The error names the first invalid field.
 func (d *Day) check() error {
 	if d.Name == "" {
 		return errors.New("Name: is missing")
 	}
 	if len(d.Classes) == 0 {
-		return errors.New("Classes: there is none")
+		return errors.New("Classes: must not be empty")
 	}
 	for i, c := range d.Classes {
 		if c.Worth <= 0 || c.Share < 0 {
-			return errors.Errorf("Classes[%d]: Worth is not over 0, or Share below 0", i)
+			return errors.Errorf("Classes[%d]: Worth must be above 0, and Share must not be negative", i)
 		}
 	}
 	for i, w := range d.Windows {
 		if w.ToS <= w.FromS {
-			return errors.Errorf("Windows[%d].ToS: is not after FromS", i)
+			return errors.Errorf("Windows[%d].ToS: must be after FromS", i)
 		}
 	}
 	return nil
 }
 
-// dayTable has a row for each day.
+// dayTable returns a table with a row for each day.
 func dayTable(days []Day) *bronzereport.Table {
 	t := &bronzereport.Table{
 		Head: []string{"deployment", "day", "asked", "lost", "out of reach", "avoidable", "worst window, avoidable"},
@@ -89,14 +90,14 @@
 			}
 		}
 		t.Rows = append(t.Rows, []string{
-			d.Deployment, d.Name, strconv.Itoa(asked), whole(total), whole(unavoidable), whole(total - unavoidable),
-			whole(worst.Avoidable()) + " at " + whole(worst.FromS) + " s",
+			d.Deployment, d.Name, strconv.Itoa(asked), formatWhole(total), formatWhole(unavoidable), formatWhole(total - unavoidable),
+			formatWhole(worst.Avoidable()) + " at " + formatWhole(worst.FromS) + " s",
 		})
 	}
 	return t
 }
 
-// windowTable has a row for each window that lost something.
+// windowTable returns a table with a row for each window that lost something.
 func windowTable(days []Day) *bronzereport.Table {
 	t := &bronzereport.Table{
 		Head: []string{"deployment", "day", "from second", "asked", "late", "lost", "out of reach", "avoidable"},
@@ -108,12 +109,12 @@
 				continue
 			}
 			t.Rows = append(t.Rows, []string{
-				d.Deployment, d.Name, whole(l.FromS), strconv.Itoa(l.Asked), strconv.Itoa(l.Late), strconv.Itoa(l.Lost),
-				whole(l.Unavoidable), whole(l.Avoidable()),
+				d.Deployment, d.Name, formatWhole(l.FromS), strconv.Itoa(l.Asked), strconv.Itoa(l.Late), strconv.Itoa(l.Lost),
+				formatWhole(l.Unavoidable), formatWhole(l.Avoidable()),
 			})
 		}
 	}
 	return t
 }
 
-func whole(f float64) string { return strconv.FormatFloat(f, 'f', 0, 64) }
+func formatWhole(f float64) string { return strconv.FormatFloat(f, 'f', 0, 64) }
