--- a/cmd/bronzefrontier/doc.go
+++ b/cmd/bronzefrontier/doc.go
@@ -1,17 +1,17 @@
-// Bronzefrontier draws how imbalance, exceptions and broken flows trade off
-// against each other for different bounds on a server's load.
+// Command bronzefrontier plots the trade-off between imbalance, exceptions and
+// broken flows for several bounds on the load of a server.
 //
-// It is a model, not a cluster: one loop over openings and ends of flows in
-// virtual time, in which each owner places its flows with its own
-// bronzepool.Pool and hears from the others at the pace of the control
-// traffic. Packets, links and failures other than the one kill that is
-// measured are left out.
+// It simulates openings and ends of flows in virtual time. Each owner places its
+// flows with its own bronzepool.Pool, and receives the counts of the other
+// owners and the reports of the servers at intervals like those of the control
+// traffic. The simulation has no packets and links. The only failure is the kill
+// of an owner, whose broken flows are calculated.
 //
 // # Usage
 //
 //	go run ./cmd/bronzefrontier --out docs
 //
 // writes docs/data/frontier.json and docs/frontier.svg, and prints a table.
-// The same seeds give the same figures; each is the
-// median of several seeds, with the lowest and the highest.
+// The same seeds give the same results. Each result is the median over several
+// seeds, with the lowest and the highest.
 package main
--- a/cmd/bronzefrontier/main.go
+++ b/cmd/bronzefrontier/main.go
@@ -19,7 +19,7 @@
 
 func main() {
 	var opts options
-	ctx := kong.Parse(&opts, kong.Description("Draws imbalance against exceptions and broken flows."))
+	ctx := kong.Parse(&opts, kong.Description("Plots imbalance and broken flows against exceptions."))
 	ctx.FatalIfErrorf(run(&opts, os.Stdout))
 }
 
@@ -34,8 +34,8 @@
 	return writeAll(opts, points)
 }
 
-// runAll runs every setting of the chosen workloads. Each run has its own
-// random numbers, so the order in which they finish doesn't matter.
+// runAll runs all settings of the selected workloads. Each run has its own
+// random numbers, so the results don't depend on the order of the runs.
 func runAll(opts *options) []Point {
 	var points []Point
 	workers := pond.NewPool(max(opts.Workers, 1))
@@ -54,7 +54,7 @@
 	return points
 }
 
-// runSeeds runs one setting with every seed.
+// runSeeds runs one setting with each seed.
 func runSeeds(workers pond.Pool, w Workload, s Setting, flows int, opts *options) []Result {
 	results := make([]Result, max(opts.Seeds, 1))
 	group := workers.NewGroup()
@@ -62,7 +62,7 @@
 		m := newModel(w, s, flows, opts.Seed+uint64(i))
 		group.Submit(func() { results[i] = m.run() })
 	}
-	// The runs return no error, and nothing stops the group.
+	// The tasks return no error, and the group is never stopped.
 	_ = group.Wait()
 	return results
 }
--- a/cmd/bronzefrontier/model.go
+++ b/cmd/bronzefrontier/model.go
@@ -13,33 +13,35 @@
 	"bronzeusher.example/bronzeusher/bronzepool"
 )
 
-// The pace of the control traffic.
+// The timing of the control traffic.
 const (
-	// shareEvery is how often an owner shares its counts.
-	shareEvery = time.Second
-	// shareDelay is how long a share takes to the others.
+	// shareInterval is the minimum time between two shares of an owner's counts.
+	shareInterval = time.Second
+	// shareDelay is how long a share takes to reach the other owners.
 	shareDelay = 100 * time.Millisecond
-	// reportEvery is how often each server's report reaches the owners, and
-	// reportLag how old it is then.
-	reportEvery = 2 * time.Second
-	reportLag   = time.Second
-	// copyAge is the age from which an exception is copied to the owner's
-	// successor, copyPace how many an owner copies a second.
-	copyAge  = 2 * time.Second
-	copyPace = 100
-	// ticksPerLifetime bounds the work for long flows: shares and reports
-	// come at least this often in a mean lifetime, if not every second.
+	// reportInterval is the minimum time between two reports of a server to the
+	// owners, and reportDelay is the age of a report when it arrives.
+	reportInterval = 2 * time.Second
+	reportDelay    = time.Second
+	// minCopyAge is the age from which an exception is copied to the owner's
+	// successor, and copiesPerSecond is how many an owner copies per second.
+	minCopyAge      = 2 * time.Second
+	copiesPerSecond = 100
+	// ticksPerLifetime bounds the work for long flows: ticks, which send shares,
+	// are shareInterval or a mean lifetime/ticksPerLifetime apart, whichever is
+	// longer.
 	ticksPerLifetime = 2000
 )
 
-// The length of a run in mean lifetimes.
+// The lengths of the warm-up and the measurement in mean lifetimes of a flow, and
+// the number of samples per lifetime.
 const (
-	warmLifetimes    = 3
-	measureLifetimes = 8
-	samplesPerLife   = 50
+	warmupLifetimes    = 3
+	measureLifetimes   = 8
+	samplesPerLifetime = 50
 )
 
-// flow is one open flow of the model.
+// flow is one flow of the model.
 type flow struct {
 	hash      uint64
 	server    int
@@ -51,7 +53,7 @@
 	ended     bool
 }
 
-// endQueue is a heap of flows by their ends.
+// endQueue is a heap of flows ordered by the times at which they end.
 type endQueue []*flow
 
 func (q endQueue) Len() int           { return len(q) }
@@ -73,15 +75,17 @@
 type owner struct {
 	name string
 	pool bronzepool.Pool
-	// uncopied are its exceptions that the successor doesn't have, oldest
-	// first.
+	// uncopied lists its exceptions that are not copied to the successor yet,
+	// oldest first.
 	uncopied []*flow
-	// seen and since are what TwoChoices goes by.
-	seen  []int
-	since []int
+	// TwoChoices compares servers by the sum of reported, the flows in the last
+	// report of a server, and placedSince, the flows that this owner has placed
+	// on it since then.
+	reported    []int
+	placedSince []int
 }
 
-// delivery is a share or report under way.
+// delivery is a share or a set of reports in flight.
 type delivery struct {
 	at      time.Duration
 	from    int
@@ -89,21 +93,21 @@
 	reports []bronzepool.Report
 }
 
-// model is one run.
+// model is the state of one run.
 type model struct {
 	workload Workload
 	setting  Setting
 	flows    int
 	rnd      *rand.Rand
 
-	now     time.Duration
-	service *bronzeconf.Service
-	index   map[bronzeflow.ServerID]int
-	owners  []*owner
-	loads   []int
-	open    int
-	ends    endQueue
-	mail    []delivery
+	now      time.Duration
+	service  *bronzeconf.Service
+	index    map[bronzeflow.ServerID]int
+	owners   []*owner
+	loads    []int
+	open     int
+	ends     endQueue
+	inFlight []delivery
 
 	measuring  bool
 	opens      int
@@ -148,8 +152,8 @@
 
 func (m *model) newOwner(i int) *owner {
 	o := &owner{name: fmt.Sprintf("entry-%d", i)}
-	o.seen = make([]int, m.workload.Servers)
-	o.since = make([]int, m.workload.Servers)
+	o.reported = make([]int, m.workload.Servers)
+	o.placedSince = make([]int, m.workload.Servers)
 	o.pool.Now = func() time.Time { return epoch.Add(m.now) }
 	o.pool.SetService(m.service)
 	o.pool.SetOwners(Owners)
@@ -158,12 +162,12 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// run drives the model and returns its figures.
+// run runs the model and returns its results.
 func (m *model) run() Result {
 	life := m.workload.Lifetime
 	interval := float64(life) / float64(m.flows*m.workload.Servers)
-	tick := max(shareEvery, life/ticksPerLifetime)
-	warm := warmLifetimes * life
+	tick := max(shareInterval, life/ticksPerLifetime)
+	warm := warmupLifetimes * life
 	end := warm + measureLifetimes*life
 	nextOpen, nextTick, nextSample := time.Duration(0), tick, warm
 	for m.now < end {
@@ -178,31 +182,32 @@
 			nextTick += tick
 		default:
 			m.sample()
-			nextSample += life / samplesPerLife
+			nextSample += life / samplesPerLifetime
 		}
 	}
 	return m.result()
 }
 
-// advance delivers and ends what is due until t.
+// advance moves the time to t, and performs the deliveries and ends of flows that
+// are due until then.
 func (m *model) advance(t time.Duration) {
 	for {
-		end, mail := t+1, t+1
+		end, arrival := t+1, t+1
 		if len(m.ends) > 0 {
 			end = m.ends[0].ends
 		}
-		if len(m.mail) > 0 {
-			mail = m.mail[0].at
+		if len(m.inFlight) > 0 {
+			arrival = m.inFlight[0].at
 		}
-		if min(end, mail) > t {
+		if min(end, arrival) > t {
 			break
 		}
-		m.now = min(end, mail)
-		if end <= mail {
+		m.now = min(end, arrival)
+		if end <= arrival {
 			m.endFlow(heap.Pop(&m.ends).(*flow))
 		} else {
-			m.deliver(m.mail[0])
-			m.mail = m.mail[1:]
+			m.deliver(m.inFlight[0])
+			m.inFlight = m.inFlight[1:]
 		}
 	}
 	m.now = t
@@ -217,7 +222,7 @@
 	f.exception = !first
 	f.ends = m.now + time.Duration(m.rnd.ExpFloat64()*float64(m.workload.Lifetime))
 	o.pool.Opened(id)
-	o.since[f.server]++
+	o.placedSince[f.server]++
 	m.loads[f.server]++
 	m.open++
 	heap.Push(&m.ends, f)
@@ -232,7 +237,7 @@
 	}
 }
 
-// newHash returns the hash of a key as a caller's packet would have it.
+// newHash returns the hash of the key of a random caller's flow.
 func (m *model) newHash() uint64 {
 	var ip [4]byte
 	binary.BigEndian.PutUint32(ip[:], m.rnd.Uint32())
@@ -243,7 +248,7 @@
 	return key.Hash()
 }
 
-// ownerOf returns the flow's owner by rendezvous, as the fleet does.
+// ownerOf returns the owner of a flow by rendezvous hashing, as the fleet does.
 func ownerOf(hash uint64) int {
 	best, top := 0, uint64(0)
 	for i := range Owners {
@@ -254,6 +259,7 @@
 	return best
 }
 
+// choose returns the server of a new flow, and whether it is the first candidate.
 func (m *model) choose(o *owner, hash uint64) (id bronzeflow.ServerID, first bool) {
 	if m.setting.Placement == Bounded {
 		id, first, _ = o.pool.Choose(hash, nil, false)
@@ -262,7 +268,7 @@
 	var buf [2]bronzeflow.ServerID
 	two := o.pool.Candidates(hash, 2, buf[:0])
 	a, b := m.index[two[0]], m.index[two[1]]
-	if m.setting.Placement == TwoChoices && o.seen[b]+o.since[b] < o.seen[a]+o.since[a] {
+	if m.setting.Placement == TwoChoices && o.reported[b]+o.placedSince[b] < o.reported[a]+o.placedSince[a] {
 		return two[1], false
 	}
 	return two[0], true
@@ -275,19 +281,21 @@
 	m.open--
 }
 
-// tick sends shares and reports on their way and copies exceptions.
+// tick sends the shares of all owners and the reports that are due, and copies
+// exceptions. length is the time since the last tick.
 func (m *model) tick(length time.Duration) {
 	for i, o := range m.owners {
 		counts := make(map[bronzeflow.ServerID]uint32)
 		o.pool.Owned(counts)
-		m.mail = append(m.mail, delivery{at: m.now + shareDelay, from: i, counts: counts})
-		o.copyExceptions(m.now, int(copyPace*length.Seconds()))
+		m.inFlight = append(m.inFlight, delivery{at: m.now + shareDelay, from: i, counts: counts})
+		o.copyExceptions(m.now, int(copiesPerSecond*length.Seconds()))
 	}
-	if m.now%max(reportEvery, length) == 0 {
-		m.mail = append(m.mail, m.report())
+	if m.now%max(reportInterval, length) == 0 {
+		m.inFlight = append(m.inFlight, m.report())
 	}
 }
 
+// report returns the reports of all servers.
 func (m *model) report() delivery {
 	reports := make([]bronzepool.Report, 0, len(m.loads))
 	for i, n := range m.loads {
@@ -297,10 +305,10 @@
 			At:          epoch.Add(m.now),
 		})
 	}
-	return delivery{at: m.now + reportLag, reports: reports}
+	return delivery{at: m.now + reportDelay, reports: reports}
 }
 
-// deliver hands a share to all owners but its own, or reports to all.
+// deliver passes a share to all owners but its sender, or reports to all owners.
 func (m *model) deliver(d delivery) {
 	for i, o := range m.owners {
 		if d.counts != nil && i != d.from {
@@ -308,18 +316,18 @@
 		}
 		for j, r := range d.reports {
 			o.pool.Observe(r)
-			o.seen[j], o.since[j] = r.Connections, 0
+			o.reported[j], o.placedSince[j] = r.Connections, 0
 		}
 	}
 }
 
-// copyExceptions gives up to n of the oldest exceptions to the successor.
+// copyExceptions copies up to n of the oldest exceptions to the successor.
 func (o *owner) copyExceptions(now time.Duration, n int) {
 	kept := o.uncopied[:0]
 	for _, f := range o.uncopied {
 		switch {
 		case f.ended:
-		case n > 0 && now-f.opened >= copyAge:
+		case n > 0 && now-f.opened >= minCopyAge:
 			f.copied = true
 			n--
 		default:
--- a/cmd/bronzefrontier/model_test.go
+++ b/cmd/bronzefrontier/model_test.go
@@ -11,14 +11,14 @@
 
 var small = Workload{Deployment: "d", Service: "s", Servers: 6, Lifetime: 30 * time.Second}
 
-func TestModelRepeats(t *testing.T) {
+func TestModelDeterministic(t *testing.T) {
 	setting := Setting{Placement: Bounded, Bound: 1.05}
 	a := newModel(small, setting, 30, 7).run()
 	require.Equal(t, a, newModel(small, setting, 30, 7).run())
 	require.NotEqual(t, a, newModel(small, setting, 30, 8).run())
 }
 
-func TestFrontierTradesImbalanceForExceptions(t *testing.T) {
+func TestFrontierTradeOff(t *testing.T) {
 	hash := newModel(small, Setting{Placement: HashAlone}, 100, 1).run()
 	loose := newModel(small, Setting{Placement: Bounded, Bound: 1.15}, 100, 1).run()
 	tight := newModel(small, Setting{Placement: Bounded, Bound: 1.05}, 100, 1).run()
@@ -29,7 +29,7 @@
 	require.InDelta(t, 6*100/Owners, tight.OwnedFlows, 12)
 }
 
-func TestModelKeepsItsBooks(t *testing.T) {
+func TestModelLoads(t *testing.T) {
 	m := newModel(small, Setting{Placement: Bounded, Bound: 1.02}, 50, 3)
 	m.run()
 	loads := make([]int, small.Servers)
--- a/cmd/bronzefrontier/plot.go
+++ b/cmd/bronzefrontier/plot.go
@@ -15,16 +15,16 @@
 	"bronzeusher.example/bronzeusher/bronzereport"
 )
 
-// The size of one panel.
+// Sizes of the panels.
 const (
 	panelWidth  = 11 * vg.Centimeter
 	panelHeight = 9 * vg.Centimeter
 	panelGap    = 6 * vg.Millimeter
-	// legendRoom is the part of the curves' height that is added above them.
-	legendRoom = 0.6
+	// legendMargin is the space above the curves, as a fraction of their height.
+	legendMargin = 0.6
 )
 
-// axis is a figure of a Point that a panel draws against the exceptions.
+// axis is a result of a Point that a panel plots against the exceptions.
 type axis struct {
 	label string
 	value func(*Point) float64
@@ -35,7 +35,7 @@
 	{label: "flows broken by a kill", value: func(p *Point) float64 { return p.BrokenByKill.Median }},
 }
 
-// writePlot draws a row of panels for each service.
+// writePlot writes an SVG file with a row of panels for each service.
 func writePlot(name string, points []Point) (err error) {
 	defer func() {
 		if err != nil {
@@ -63,7 +63,7 @@
 	return bronzereport.Save(name, canvas)
 }
 
-// panels returns the row of a service, nil if it has no points.
+// panels returns the row of panels of a service, or nil if it has no points.
 func panels(w Workload, points []Point) (row []*plot.Plot, err error) {
 	var own []*Point
 	for i := range points {
@@ -88,14 +88,15 @@
 				return nil, err
 			}
 		}
-		// The legend stands above the curves.
-		p.Y.Max += legendRoom * (p.Y.Max - p.Y.Min)
+		// Leave space for the legend above the curves.
+		p.Y.Max += legendMargin * (p.Y.Max - p.Y.Min)
 		row = append(row, p)
 	}
 	return row, nil
 }
 
-// addCurve draws the bounds as a line and the baselines as single points.
+// addCurve adds the points of Bounded as a line, and the baselines HashAlone and
+// TwoChoices as single points.
 func addCurve(p *plot.Plot, points []*Point, a axis, flows, index int) error {
 	var bounded plotter.XYs
 	baselines := make(map[Placement]plotter.XYs)
@@ -124,7 +125,7 @@
 	return addPoint(p, baselines[TwoChoices], line.Color, draw.TriangleGlyph{}, "two choices", index)
 }
 
-// addPoint draws a baseline, named in the legend once.
+// addPoint adds a baseline. Only that of index 0 is added to the legend.
 func addPoint(p *plot.Plot, xys plotter.XYs, c color.Color, shape draw.GlyphDrawer, name string, index int) error {
 	s, err := plotter.NewScatter(xys)
 	if err != nil {
--- a/cmd/bronzefrontier/point.go
+++ b/cmd/bronzefrontier/point.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// Spread is a figure over several seeds.
+// Spread is the lowest, median and highest value of a result over several seeds.
 type Spread struct {
 	Low, Median, High float64
 }
 
-// newSpread returns the spread of one figure of the results.
+// newSpread returns the spread of the given value of the results.
 func newSpread(results []Result, value func(*Result) float64) Spread {
 	values := make([]float64, 0, len(results))
 	for i := range results {
@@ -21,8 +21,8 @@
 	return Spread{Low: values[0], Median: values[last/2], High: values[last]}
 }
 
-// Point is one point of the frontier: a setting's figures over the seeds.
-// The figures are those of Result.
+// Point is one point of the frontier: the results of a setting over all seeds.
+// See Result for the fields with a Spread.
 type Point struct {
 	Deployment          string
 	Service             string
@@ -53,7 +53,7 @@
 	}
 }
 
-// name returns how tables call the point's setting.
+// name returns the name of the point's setting in tables.
 func (p *Point) name() string {
 	switch p.Placement {
 	case HashAlone:
@@ -65,11 +65,12 @@
 	}
 }
 
-// tableHead is the head of the table whose rows row returns, in Markdown.
+// tableHead is the head of a Markdown table with the rows that row returns.
 const tableHead = `| service | flows a server | placement | imbalance | P99 | exceptions | broken by a kill | after a join |
 | --- | --- | --- | --- | --- | --- | --- | --- |
 `
 
+// row formats the point as a row of a Markdown table.
 func (p *Point) row() string {
 	return fmt.Sprintf("| %s | %d | %s | %.3f (%.3f-%.3f) | %.3f | %.1f%% (%.1f-%.1f) | %.2f | %.2f |\n",
 		p.Service, p.FlowsPerServer, p.name(),
--- a/cmd/bronzefrontier/result.go
+++ b/cmd/bronzefrontier/result.go
@@ -6,27 +6,28 @@
 	"bronzeusher.example/bronzeusher/bronzeflow"
 )
 
-// Result is what one run measured.
+// Result is the result of one run.
 type Result struct {
-	// Imbalance is the busiest server's flows over the mean: its average
-	// over time and its 99th percentile.
+	// Imbalance is the number of flows of the busiest server divided by the
+	// mean, averaged over time. ImbalanceP99 is its 99th percentile.
 	Imbalance    float64
 	ImbalanceP99 float64
-	// Exceptions is the share of new flows that went to another server than
-	// their first candidate.
+	// Exceptions is the fraction of new flows that were placed on another server
+	// than their first candidate.
 	Exceptions float64
-	// BrokenByKill is the mean number of flows, of those that the killed
-	// owner has, that neither a copy nor derivation would find.
+	// BrokenByKill is the mean number of flows of a killed owner whose server is
+	// known neither from a copy nor from the hash: exceptions without a copy.
 	BrokenByKill float64
-	// BrokenByJoinAndKill is the same if a server had joined the pool one
-	// second before the kill, so that some flows have a new first candidate.
+	// BrokenByJoinAndKill is the same if a server joins the pool one second
+	// before the kill, so that some flows have a new first candidate.
 	BrokenByJoinAndKill float64
 	// OwnedFlows is the mean number of flows of an owner.
 	OwnedFlows float64
-	Opens      int
+	// Opens is the number of flows opened after the warm-up.
+	Opens int
 }
 
-// tally collects samples.
+// tally collects samples of a run.
 type tally struct {
 	imbalance []float64
 	broken    float64
@@ -34,7 +35,7 @@
 	owned     float64
 }
 
-// sample takes the state at one moment.
+// sample adds the current state to the tally.
 func (m *model) sample() {
 	m.measuring = true
 	mean := float64(m.open) / float64(len(m.loads))
@@ -48,6 +49,7 @@
 	m.tally.moved += float64(uncopied)/Owners + m.movedUncopied()
 }
 
+// countUncopied returns how many open flows are exceptions without a copy.
 func (m *model) countUncopied() int {
 	n := 0
 	for _, o := range m.owners {
@@ -60,9 +62,9 @@
 	return n
 }
 
-// movedUncopied returns how many flows of an owner a server that joins would
-// move off their first candidate, less those copied within a second. Without
-// exceptions' copies, as with HashAlone, all of them are lost.
+// movedUncopied returns for how many flows of an owner a joining server would
+// become the first candidate, less those that are copied within a second. With
+// HashAlone there are no copies, so all of these flows break.
 func (m *model) movedUncopied() float64 {
 	joined := newServer(m.workload, m.workload.Servers).ID
 	moved := make([]int, Owners)
@@ -78,13 +80,14 @@
 	total := 0
 	for _, n := range moved {
 		if m.setting.Placement != HashAlone {
-			n = max(n-copyPace, 0)
+			n = max(n-copiesPerSecond, 0)
 		}
 		total += n
 	}
 	return float64(total) / Owners
 }
 
+// result returns the result of the collected samples.
 func (m *model) result() Result {
 	t := &m.tally
 	n := float64(max(len(t.imbalance), 1))
--- a/cmd/bronzefrontier/workload.go
+++ b/cmd/bronzefrontier/workload.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Workload is one service of a deployment as the model sees it.
+// Workload describes one service of a deployment.
 type Workload struct {
 	Deployment string
 	Service    string
 	Servers    int
 	Slots      int
-	// Lifetime is the mean of the flows' exponential lifetimes.
+	// Lifetime is the mean of the exponentially distributed lifetimes of flows.
 	Lifetime time.Duration
 }
 
@@ -26,27 +26,30 @@
 
 var bounds = []float64{1.01, 1.02, 1.03, 1.05, 1.08, 1.10, 1.15, 1.25}
 
-// Placement is a way to choose servers.
+// Placement is an algorithm that chooses the servers of flows.
 type Placement string
 
 // The placements that are compared.
 const (
-	// Bounded is the product's: the first candidate under the bound.
+	// Bounded is the algorithm of bronzepool.Pool: it takes the first candidate
+	// below the bound.
 	Bounded Placement = "Bounded"
-	// HashAlone takes the first candidate whatever its load.
+	// HashAlone takes the first candidate, whatever its load.
 	HashAlone Placement = "HashAlone"
-	// TwoChoices takes the less loaded of the first two candidates by the
-	// servers' last reports and the owner's own placements since.
+	// TwoChoices takes the less loaded of the first two candidates, according to
+	// the last reports of the servers and the owner's placements since then.
 	TwoChoices Placement = "TwoChoices"
 )
 
 // Setting is one point of the frontier.
 type Setting struct {
 	Placement Placement
-	// Bound is 0 but for Bounded.
+	// Bound is the bound on the load of a server for Bounded, and 0 for the other
+	// placements.
 	Bound float64
 }
 
+// settings returns all settings: the baselines, and Bounded with each bound.
 func settings() []Setting {
 	all := []Setting{{Placement: HashAlone}, {Placement: TwoChoices}}
 	for _, b := range bounds {
--- a/cmd/bronzefrontier/write.go
+++ b/cmd/bronzefrontier/write.go
@@ -8,19 +8,19 @@
 	"bronzeusher.example/bronzeusher/bronzereport"
 )
 
-// Frontier is the content of frontier.json.
+// Frontier is the content of the file frontier.json.
 type Frontier struct {
 	Seed   uint64
 	Seeds  int
 	Owners int
-	// ShareSeconds is how often owners share their counts, CopiesPerSecond
-	// how many exceptions each copies.
+	// ShareSeconds is the minimum time between two shares of an owner's counts, and
+	// CopiesPerSecond is how many exceptions an owner copies per second.
 	ShareSeconds    float64
 	CopiesPerSecond int
 	Points          []Point
 }
 
-// writeAll writes the data and the plot below the directory Out.
+// writeAll writes the data file and the plot to the directory Out.
 func writeAll(opts *options, points []Point) (err error) {
 	defer func() {
 		if err != nil {
@@ -31,8 +31,8 @@
 		Seed:            opts.Seed,
 		Seeds:           max(opts.Seeds, 1),
 		Owners:          Owners,
-		ShareSeconds:    shareEvery.Seconds(),
-		CopiesPerSecond: copyPace,
+		ShareSeconds:    shareInterval.Seconds(),
+		CopiesPerSecond: copiesPerSecond,
 		Points:          points,
 	}
 	if err = bronzereport.SaveJSON(filepath.Join(opts.Out, "data", "frontier.json"), &f); err != nil {
