--- a/bronzereport/doc.go
+++ b/bronzereport/doc.go
@@ -1,10 +1,10 @@
-// Package bronzereport holds what the measuring commands share: where and of
-// which revision a figure was measured, data files, Markdown tables, the
-// sections of a page that a command writes, and the ticks of plots.
+// Package bronzereport provides what the measuring commands share: the machine
+// and revision of a measurement, data files, Markdown tables, sections of a page
+// that a command writes, and the ticks of plots.
 //
-// A figure on a page is never typed in. A command writes it to a data file
-// together with its Source, and writes the page's Section from that file, so
-// that the page can be made again without measuring.
+// Figures on a page are never edited by hand. A command writes them to a data
+// file together with their Source, and writes the Section of the page from that
+// file, so that the page can be generated again without measuring.
 //
 // # Usage
 //
--- a/bronzereport/file.go
+++ b/bronzereport/file.go
@@ -8,19 +8,19 @@
 	"path/filepath"
 )
 
-// SaveJSON writes v as indented JSON to the file path, and makes its
-// directory if there is none.
+// SaveJSON writes v as indented JSON to the file path, and creates its directory
+// if necessary.
 func SaveJSON(path string, v any) (err error) {
 	defer annotate(&err, "save "+path)
 	b, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
 		return err
 	}
-	return save(path, append(b, '\n'))
+	return writeFile(path, append(b, '\n'))
 }
 
-// LoadJSON reads what SaveJSON wrote into v. The error wraps os.ErrNotExist if
-// there is no such file.
+// LoadJSON reads the JSON file path into v. The error wraps os.ErrNotExist if the
+// file does not exist.
 func LoadJSON(path string, v any) (err error) {
 	defer annotate(&err, "load "+path)
 	b, err := os.ReadFile(path)
@@ -30,18 +30,18 @@
 	return json.Unmarshal(b, v)
 }
 
-// Save writes content, such as a plot, to the file path, and makes its
-// directory if there is none.
+// Save writes content, such as a plot, to the file path, and creates its
+// directory if necessary.
 func Save(path string, content io.WriterTo) (err error) {
 	defer annotate(&err, "save "+path)
 	var b bytes.Buffer
 	if _, err = content.WriteTo(&b); err != nil {
 		return err
 	}
-	return save(path, b.Bytes())
+	return writeFile(path, b.Bytes())
 }
 
-func save(path string, b []byte) error {
+func writeFile(path string, b []byte) error {
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return err
 	}
--- a/bronzereport/report_test.go
+++ b/bronzereport/report_test.go
@@ -11,7 +11,7 @@
 
 var section = Section{Begin: "<!-- a:begin -->", End: "<!-- a:end -->"}
 
-func TestReplaceTwiceIsReplaceOnce(t *testing.T) {
+func TestReplaceIdempotent(t *testing.T) {
 	page := "before\n<!-- a:begin --><!-- a:end -->\nafter\n"
 	once, err := section.Replace(page, "\nnew\n\n")
 	require.NoError(t, err)
@@ -21,7 +21,7 @@
 	require.Equal(t, once, twice)
 }
 
-func TestReplaceNeedsBothMarksOnceInOrder(t *testing.T) {
+func TestReplaceInvalidMarks(t *testing.T) {
 	for _, page := range []string{
 		"", section.Begin, section.End, section.End + section.Begin,
 		section.Begin + section.Begin + section.End, section.Begin + section.End + section.End,
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestFilesComeBack(t *testing.T) {
+func TestFilesRoundTrip(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "data", "x.json")
 	var none Source
 	require.ErrorIs(t, LoadJSON(path, &none), os.ErrNotExist)
@@ -48,12 +48,12 @@
 	require.Equal(t, "x "+section.Begin+"\nnew\n"+section.End, string(page))
 }
 
-func TestMarkdownKeepsCellsInTheirColumns(t *testing.T) {
+func TestMarkdownEscapes(t *testing.T) {
 	table := Table{Head: []string{"a"}, Rows: [][]string{{"x|y\nz"}}}
 	require.Equal(t, "| a |\n| --- |\n| x\\|y z |\n", table.Markdown())
 }
 
-func TestTicksHaveTheSameDecimals(t *testing.T) {
+func TestTicksDecimals(t *testing.T) {
 	for _, tick := range Ticks("%.1f").Ticks(0, 3) {
 		if !tick.IsMinor() {
 			require.Regexp(t, `^\d\.\d$`, tick.Label)
--- a/bronzereport/section.go
+++ b/bronzereport/section.go
@@ -7,19 +7,19 @@
 	"github.com/pkg/errors"
 )
 
-// ErrNoMarks tells that a page doesn't have a section's two marks, once each
-// and in their order.
-var ErrNoMarks = errors.New("the marks of the section are not on the page, once each and in order")
+// ErrNoMarks means that a page doesn't contain the two marks of a section exactly
+// once and in order.
+var ErrNoMarks = errors.New("the page doesn't contain the marks of the section exactly once and in order")
 
-// Section is the part of a page between two marks, each of which stands on
-// the page once. The marks themselves stay.
+// Section is the part of a page between two marks, each of which must occur
+// exactly once. The marks are kept when the section is replaced.
 type Section struct {
 	Begin, End string
 }
 
-// Replace returns page with text in place of what the section holds. Without
-// the marks it returns ErrNoMarks, since the page would look up to date and
-// have old figures or none.
+// Replace returns page with the content of the section replaced by text. If the
+// marks are missing, repeated or out of order, the error wraps ErrNoMarks:
+// otherwise the page would look up to date but have outdated figures or none.
 func (s Section) Replace(page, text string) (replaced string, err error) {
 	before, rest, begins := strings.Cut(page, s.Begin)
 	_, after, ends := strings.Cut(rest, s.End)
@@ -31,7 +31,7 @@
 	return before + s.Begin + "\n" + text + "\n" + s.End + after, nil
 }
 
-// Rewrite replaces the section in the file path.
+// Rewrite replaces the section in the file path by text, as Replace does.
 func (s Section) Rewrite(path, text string) (err error) {
 	defer annotate(&err, "rewrite "+path)
 	page, err := os.ReadFile(path)
@@ -42,5 +42,5 @@
 	if err != nil {
 		return err
 	}
-	return save(path, []byte(replaced))
+	return writeFile(path, []byte(replaced))
 }
--- a/bronzereport/source.go
+++ b/bronzereport/source.go
@@ -12,26 +12,26 @@
 	"github.com/pkg/errors"
 )
 
-// Source tells where figures come from.
+// Source describes where, when and with which revision figures were measured.
 type Source struct {
 	Machine  Machine
 	Revision string
-	// Modified tells that the tree had changes beside Revision.
+	// Modified is set if Go files or go.mod had uncommitted changes.
 	Modified bool
 	Date     time.Time
 }
 
-// Machine is where figures were measured.
+// Machine describes the machine on which figures were measured.
 type Machine struct {
 	Processor string
 	Cores     int
 	GoVersion string
-	// Load is the load average of the last minute before the start.
+	// Load is the load average of the minute before the start.
 	Load string
 }
 
-// NewSource returns the source of what is measured from now on. It asks git,
-// so the working directory has to be in the repository.
+// NewSource returns the source of figures that are measured from now on. It runs
+// git, so the working directory must be in the repository.
 func NewSource(ctx context.Context) (s Source, err error) {
 	defer annotate(&err, "find source")
 	if s.Revision, err = git(ctx, "rev-parse", "--short", "HEAD"); err != nil {
@@ -47,7 +47,7 @@
 	return s, nil
 }
 
-// NewMachine returns the machine that runs the process.
+// NewMachine describes the machine that runs the process.
 func NewMachine() Machine {
 	return Machine{
 		Processor: processor(),
@@ -62,7 +62,8 @@
 	return strings.TrimSpace(string(b)), err
 }
 
-// processor returns the model's name where Linux tells it.
+// processor returns the model name of the processor from /proc/cpuinfo, or the
+// architecture if it isn't available.
 func processor() string {
 	f, err := os.Open("/proc/cpuinfo")
 	if err != nil {
@@ -78,6 +79,7 @@
 	return runtime.GOARCH
 }
 
+// loadAverage returns the load average of the last minute, or "unknown".
 func loadAverage() string {
 	b, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
@@ -87,7 +89,8 @@
 	return load
 }
 
-// annotate adds what was attempted to an error that is returned.
+// annotate wraps the error that a function returns, if any, with what it
+// attempted. It is meant for defer.
 func annotate(err *error, what string) {
 	if *err != nil {
 		*err = errors.Wrap(*err, what)
--- a/bronzereport/table.go
+++ b/bronzereport/table.go
@@ -2,16 +2,16 @@
 
 import "strings"
 
-// Table is a table of text cells. Each row has as many cells as Head.
+// Table is a table of text cells. Each row must have as many cells as Head.
 type Table struct {
 	Head []string
 	Rows [][]string
 }
 
-// escape keeps a cell inside its column.
-var escape = strings.NewReplacer("|", `\|`, "\n", " ")
+// cellEscaper escapes characters that would end a cell.
+var cellEscaper = strings.NewReplacer("|", `\|`, "\n", " ")
 
-// Markdown returns the table in Markdown.
+// Markdown formats the table as Markdown.
 func (t *Table) Markdown() string {
 	var b strings.Builder
 	writeRow(&b, t.Head)
@@ -28,7 +28,7 @@
 
 func writeRow(b *strings.Builder, cells []string) {
 	for _, cell := range cells {
-		b.WriteString("| " + escape.Replace(cell) + " ")
+		b.WriteString("| " + cellEscaper.Replace(cell) + " ")
 	}
 	b.WriteString("|\n")
 }
--- a/bronzereport/ticks.go
+++ b/bronzereport/ticks.go
@@ -6,8 +6,9 @@
 	"gonum.org/v1/plot"
 )
 
-// Ticks returns a plot's usual ticks with labels in the given format of
-// package fmt, so that all labels of an axis have the same decimals.
+// Ticks returns the default ticks of a plot with labels in the given format of
+// package fmt, so that all labels of an axis can have the same number of
+// decimals.
 func Ticks(format string) plot.Ticker {
 	return plot.TickerFunc(func(low, high float64) []plot.Tick {
 		marks := plot.DefaultTicks{}.Ticks(low, high)
