--- a/cmd/bronzecost/cost.go
+++ b/cmd/bronzecost/cost.go
@@ -18,7 +18,7 @@
 	Unit    string
 	// Size names the quantity that the cost grows with.
 	Size string
-	// Test is the test that prints the values of a cost that isn't measured by
+	// Test is the test that reports the values of a cost that isn't measured by
 	// a benchmark.
 	Test string
 }
--- a/cmd/bronzecost/deployment_test.go
+++ b/cmd/bronzecost/deployment_test.go
@@ -24,7 +24,8 @@
 // to the target.
 var deployments = []deployment{{4, 18}, {20, 320}, {100, 1600}, {320, 5100}}
 
-// sharingDeployments are the sizes at which shared counts are measured.
+// sharingDeployments are sizes of the configuration at which a node shares its
+// counts.
 var sharingDeployments = []deployment{{4, 18}, {20, 320}, {100, 1600}, {300, 4900}}
 
 // targetDeployment is the target size.
--- a/cmd/bronzecost/format.go
+++ b/cmd/bronzecost/format.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// number formats x with three significant digits. Numbers of 1000 or more are
+// number formats x with three significant digits. Numbers of 999.5 or more are
 // rounded to integers, with commas between groups of three digits.
 func number(x float64) string {
 	if x < 0 {
