--- a/cmd/bronzecost/fleet_bench_test.go
+++ b/cmd/bronzecost/fleet_bench_test.go
@@ -197,8 +197,8 @@
 }
 
 // sharers are the numbers of other nodes that share their counts of the hosts of
-// sharingDeployments[1]. They make up to 4,800 pairs, which is below
-// bronzepool.MaxSharedPairs.
+// sharingDeployments[1]. They make up to 4,800 pairs, below the 5,000
+// of bronzepool.MaxSharedPairs.
 var sharers = []int{2, 4, 8, 15}
 
 // BenchmarkOwnersHeap reports the heap of a Balancer with the counts of other
